--- a/internal/cells/admission.go
+++ b/internal/cells/admission.go
@@ -64,7 +64,7 @@
 // refusal tells whether a cell takes nothing new now, for how long about (0 if it does), and what would count it.
 func (f *Fleet) refusal(now time.Duration, c *cell) (wait time.Duration, why *int64) {
 	switch {
-	case c.hosts == 0 && !f.set.OnlyDrainingBinds: // else the module may know better than the list
+	case c.hosts == 0 && !f.set.GoneServersUsable: // else the module may know better than the list
 		return f.away(), &c.count.NoHost
 	case c.limits.Connections > 0 && c.open >= f.part(c.limits.Connections):
 		return f.away(), &c.count.Full
@@ -82,7 +82,7 @@
 func (f *Fleet) away() time.Duration {
 	longest := leastAway
 	for _, c := range f.set.Classes {
-		longest = max(longest, c.Aim)
+		longest = max(longest, c.SetupTarget)
 	}
 	return 2 * longest
 }
--- a/internal/cells/cost_test.go
+++ b/internal/cells/cost_test.go
@@ -19,7 +19,7 @@
 func (still) Fail(string)                         {}
 func (still) Wake(ticks, int64)                   {}
 func (still) Watch(bool)                          {}
-func (still) Ask(string)                          {}
+func (still) Probe(string)                        {}
 func (still) Log(string)                          {}
 
 // One placement and its end, on 1,000 hosts: the bare module, a Fleet without a plan, with one cell, with 40.
@@ -27,7 +27,7 @@
 	list := hosts(1000)
 	decide := func(b *testing.B, m interface {
 		Request(ticks, policy.Request)
-		First(ticks, string)
+		ConnectionEstablished(ticks, string)
 		Outcome(ticks, string, policy.Result, bool)
 	}) {
 		ids, carriers := make([]string, 4096), make([]string, 40)
@@ -41,7 +41,7 @@
 		for i := 0; b.Loop(); i++ {
 			id := ids[i%len(ids)]
 			m.Request(t0, policy.Request{ID: id, Class: "lookup", Key: uint64(i % 400), HasKey: true, TTL: t0, Tenant: carriers[i%40]})
-			m.First(t0, id)
+			m.ConnectionEstablished(t0, id)
 			m.Outcome(t0, id, policy.OK, true)
 		}
 	}
--- a/internal/cells/fleet.go
+++ b/internal/cells/fleet.go
@@ -93,22 +93,22 @@
 func (f *Fleet) settings(c *cell) policy.Settings {
 	set := f.set
 	if n := len(f.cells); n > 1 {
-		set.SpareAttempts /= float64(n)
+		set.RetryBudgetBase /= float64(n)
 	}
 	if c != f.root && f.root != nil {
-		set.MustAsk = false
+		set.MustWatch = false
 	}
 	return set
 }
 
 func (f *Fleet) adopt() {
 	for _, c := range f.numbers {
-		c.module.Adopt(f.settings(c))
+		c.module.ApplySettings(f.settings(c))
 	}
 }
 
-// Adopt takes other settings from now on.
-func (f *Fleet) Adopt(set policy.Settings) {
+// ApplySettings takes other settings from now on.
+func (f *Fleet) ApplySettings(set policy.Settings) {
 	f.set = set
 	f.adopt()
 }
@@ -128,10 +128,10 @@
 	return slices.SortedFunc(maps.Values(f.numbers), func(a, b *cell) int { return cmp.Compare(a.number, b.number) })
 }
 
-// Succeed tells that this process takes over from another one of its balancer.
-func (f *Fleet) Succeed(now time.Duration) {
+// TakeOver tells that this process takes over from another one of its balancer.
+func (f *Fleet) TakeOver(now time.Duration) {
 	for _, c := range f.inOrder() {
-		c.module.Succeed(now)
+		c.module.TakeOver(now)
 	}
 }
 
--- a/internal/cells/fleet_test.go
+++ b/internal/cells/fleet_test.go
@@ -16,9 +16,9 @@
 const t0 = 1000 * time.Second
 
 func settings() policy.Settings {
-	return policy.Settings{MaxAttempts: 6, Siblings: 1, Tick: 4 * time.Millisecond, MustAsk: true, AskWithin: 10 * time.Second,
-		DrainGrace: 300 * time.Millisecond, ColdFrom: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, Fall: time.Second,
-		Classes: map[string]policy.Class{"lookup": {Aim: 300 * time.Millisecond, MessageAim: 250 * time.Millisecond}}}
+	return policy.Settings{MaxAttempts: 6, Siblings: 1, Tick: 4 * time.Millisecond, MustWatch: true, MaxWatchInterval: 10 * time.Second,
+		DrainGrace: 300 * time.Millisecond, ColdCapacityShare: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, OverloadSpan: time.Second,
+		Classes: map[string]policy.Class{"lookup": {SetupTarget: 300 * time.Millisecond, MessageTarget: 250 * time.Millisecond}}}
 }
 
 // world carries out what is asked, and keeps account of it.
@@ -58,12 +58,12 @@
 	w.say("refuse %s %v", r, d)
 	w.final[r]++
 }
-func (w *world) Fail(r string)                  { w.say("fail %s", r); w.final[r]++ }
-func (w *world) Move(r string)                  { w.say("move %s", r); w.moved = append(w.moved, r) }
-func (w *world) Ask(s string)                   { w.say("ask %s", s) }
-func (w *world) Tell(s uint32, d time.Duration) { w.say("tell %d %v", s, d) }
-func (w *world) Watch(on bool)                  { w.say("watch %v", on); w.watched++ }
-func (w *world) Log(string)                     {}
+func (w *world) Fail(r string)                            { w.say("fail %s", r); w.final[r]++ }
+func (w *world) Move(r string)                            { w.say("move %s", r); w.moved = append(w.moved, r) }
+func (w *world) Probe(s string)                           { w.say("ask %s", s) }
+func (w *world) NotifySiblings(s uint32, d time.Duration) { w.say("tell %d %v", s, d) }
+func (w *world) Watch(on bool)                            { w.say("watch %v", on); w.watched++ }
+func (w *world) Log(string)                               {}
 func (w *world) Wake(at time.Duration, name int64) {
 	w.say("wake %v %d", at, name)
 	w.timers = append(w.timers, timer{at, name})
@@ -84,7 +84,7 @@
 func (w *world) up(now time.Duration, id, carrier string, flight uint64) string {
 	s := w.open(now, id, carrier, flight)
 	require.NotEmpty(w.t, s)
-	w.fleet.First(now, id)
+	w.fleet.ConnectionEstablished(now, id)
 	w.final[id]++
 	return s
 }
@@ -123,7 +123,7 @@
 			}
 			switch what {
 			case 0:
-				kind := rapid.SampledFrom([]policy.MembersKind{policy.Full, policy.Cached, policy.Delta, policy.Failed}).Draw(t, "kind")
+				kind := rapid.SampledFrom([]policy.MembersKind{policy.Full, policy.Cached, policy.Delta, policy.WatchFailed}).Draw(t, "kind")
 				j := rapid.IntRange(0, 5).Draw(t, "host")
 				list[j].State = rapid.SampledFrom([]policy.State{policy.Ready, policy.Draining}).Draw(t, "state")
 				module.Members(now, kind, list[j:])
@@ -134,8 +134,8 @@
 				module.Request(now, q)
 				w.fleet.Request(now, q)
 			case 4:
-				module.First(now, id)
-				w.fleet.First(now, id)
+				module.ConnectionEstablished(now, id)
+				w.fleet.ConnectionEstablished(now, id)
 			case 5:
 				result := policy.Result(rapid.IntRange(0, 7).Draw(t, "result"))
 				over := rapid.Bool().Draw(t, "over")
@@ -146,8 +146,8 @@
 					w.fleet.Outcome(now, id, result, over)
 				}
 			case 6:
-				module.Delay(now, list[0].ID, 400*time.Millisecond)
-				w.fleet.Delay(now, list[0].ID, 400*time.Millisecond)
+				module.ServerDelay(now, list[0].ID, 400*time.Millisecond)
+				w.fleet.ServerDelay(now, list[0].ID, 400*time.Millisecond)
 				if len(w.timers) > 0 {
 					module.Wake(now, w.timers[0].name)
 					w.fleet.Wake(now, w.timers[0].name)
@@ -188,7 +188,7 @@
 			case what < 8:
 				for _, id := range sorted(w.out) {
 					if w.final[id] == 0 && rapid.Bool().Draw(t, "comes up") {
-						w.fleet.First(now, id)
+						w.fleet.ConnectionEstablished(now, id)
 						w.final[id]++
 						open = append(open, id)
 					}
@@ -197,7 +197,7 @@
 				for _, id := range sorted(w.out) {
 					if w.final[id] == 0 {
 						delete(w.out, id)
-						w.fleet.Outcome(now, id, rapid.SampledFrom([]policy.Result{policy.TurnedAway, policy.Reset, policy.Timeout}).Draw(t, "result"), false)
+						w.fleet.Outcome(now, id, rapid.SampledFrom([]policy.Result{policy.Rejected, policy.Reset, policy.Timeout}).Draw(t, "result"), false)
 						break
 					}
 				}
@@ -225,7 +225,7 @@
 			for _, id := range sorted(w.out) {
 				if w.final[id] == 0 {
 					delete(w.out, id)
-					w.fleet.Outcome(now, id, policy.TurnedAway, false)
+					w.fleet.Outcome(now, id, policy.Rejected, false)
 				}
 			}
 		}
@@ -322,14 +322,14 @@
 func TestOneWatchForAllCells(t *testing.T) {
 	w := newWorld(t, settings(), even(5))
 	w.fleet.Members(t0, policy.Cached, hosts(10))
-	w.fleet.Members(t0, policy.Failed, nil)
+	w.fleet.Members(t0, policy.WatchFailed, nil)
 	w.tick(t0 + time.Minute)
 	assert.Equal(t, 2, w.watched)
 }
 
 func TestTheRationOfAttemptsIsSplit(t *testing.T) {
 	set := settings()
-	set.BudgetSpan, set.SpareAttempts = 10*time.Second, 4
+	set.RetryBudgetSpan, set.RetryBudgetBase = 10*time.Second, 4
 	w := newWorld(t, set, even(4))
 	w.fleet.Members(t0, policy.Full, hosts(40))
 	for i := range 40 {
@@ -337,7 +337,7 @@
 		w.open(t0, id, fmt.Sprintf("air-%d", i%4), uint64(i))
 		for w.final[id] == 0 {
 			delete(w.out, id)
-			w.fleet.Outcome(t0, id, policy.TurnedAway, false)
+			w.fleet.Outcome(t0, id, policy.Rejected, false)
 		}
 	}
 	again := 0
@@ -565,7 +565,7 @@
 			crashed[list[i].ID] = true
 		}
 	}
-	w.fleet.Members(t0+2*time.Second, policy.Failed, nil)
+	w.fleet.Members(t0+2*time.Second, policy.WatchFailed, nil)
 	w.tick(t0 + 20*time.Second)
 	for id, c := range owners() {
 		assert.Equal(t, before[id], c, "a crash draws no host from another cell")
--- a/internal/cells/host.go
+++ b/internal/cells/host.go
@@ -38,11 +38,13 @@
 	c.fleet.host.Move(request)
 }
 
-// Tell tells all siblings of a slow endpoint.
-func (c *cell) Tell(server uint32, delay time.Duration) { c.fleet.host.Tell(server, delay) }
+// NotifySiblings tells all siblings of a slow endpoint.
+func (c *cell) NotifySiblings(server uint32, delay time.Duration) {
+	c.fleet.host.NotifySiblings(server, delay)
+}
 
-// Ask asks an endpoint for a report.
-func (c *cell) Ask(server string) { c.fleet.host.Ask(server) }
+// Probe asks an endpoint for a report.
+func (c *cell) Probe(server string) { c.fleet.host.Probe(server) }
 
 // Wake asks to be woken, under a name of this cell's own.
 func (c *cell) Wake(at time.Duration, name int64) { c.fleet.host.Wake(at, c.number*slots+name) }
--- a/internal/cells/list.go
+++ b/internal/cells/list.go
@@ -11,7 +11,7 @@
 
 // Members tells what is new of the endpoint list.
 func (f *Fleet) Members(now time.Duration, kind policy.MembersKind, entries []policy.Server) {
-	if kind == policy.Failed {
+	if kind == policy.WatchFailed {
 		f.root.module.Members(now, kind, nil)
 		return
 	}
@@ -130,8 +130,8 @@
 	if from == nil || from == to {
 		return false
 	}
-	from.module.Drop(s.ID)
-	to.module.Join(now, s)
+	from.module.RemoveServer(s.ID)
+	to.module.AddServer(now, s)
 	return true
 }
 
--- a/internal/cells/reports.go
+++ b/internal/cells/reports.go
@@ -24,24 +24,24 @@
 	Counts
 }
 
-// Note tells of an open connection.
-func (f *Fleet) Note(now time.Duration, id string, kind policy.NoteKind, level float64) {
+// ConnectionMetric tells of an open connection.
+func (f *Fleet) ConnectionMetric(now time.Duration, id string, kind policy.MetricKind, level float64) {
 	if e := f.entries[id]; e != nil {
-		e.cell.module.Note(now, id, kind, level)
+		e.cell.module.ConnectionMetric(now, id, kind, level)
 	}
 }
 
-// Delay tells how long a message takes now at an endpoint; whoever has connections there hears of it.
-func (f *Fleet) Delay(now time.Duration, server string, delay time.Duration) {
+// ServerDelay tells how long a message takes now at an endpoint; whoever has connections there hears of it.
+func (f *Fleet) ServerDelay(now time.Duration, server string, delay time.Duration) {
 	for _, c := range f.inOrder() {
-		c.module.Delay(now, server, delay)
+		c.module.ServerDelay(now, server, delay)
 	}
 }
 
-// Reported tells of an endpoint's report, or that it gave none; whoever may have asked for it hears of it.
-func (f *Fleet) Reported(now time.Duration, server string, report policy.Report) {
+// ProbeResult tells of an endpoint's report, or that it gave none; whoever may have asked for it hears of it.
+func (f *Fleet) ProbeResult(now time.Duration, server string, report policy.Report) {
 	for _, c := range f.inOrder() {
-		c.module.Reported(now, server, report)
+		c.module.ProbeResult(now, server, report)
 	}
 }
 
@@ -53,10 +53,10 @@
 	}
 }
 
-// Listed is how many endpoints the list names, and how many of them are avoided now.
-func (f *Fleet) Listed(now time.Duration) (listed, avoided int) {
+// ServerCounts is how many endpoints the list names, and how many of them are avoided now.
+func (f *Fleet) ServerCounts(now time.Duration) (listed, avoided int) {
 	for _, c := range f.inOrder() {
-		l, a := c.module.Listed(now)
+		l, a := c.module.ServerCounts(now)
 		listed, avoided = listed+l, avoided+a
 	}
 	return listed, avoided
@@ -70,7 +70,7 @@
 	left := f.movesLeft()
 	out := make([]Figures, len(f.cells))
 	for i, c := range f.cells {
-		listed, avoided := c.module.Listed(now)
+		listed, avoided := c.module.ServerCounts(now)
 		out[i] = Figures{Name: c.name, Open: c.open, Guests: c.guests, Hosts: listed, Usable: listed - avoided,
 			MovesLeft: left[c], Counts: c.count}
 	}
--- a/internal/cells/tracked.go
+++ b/internal/cells/tracked.go
@@ -25,7 +25,7 @@
 
 // track puts a request into a cell; from is the cell that it overflowed from, or nil.
 func (f *Fleet) track(q policy.Request, c, from *cell, now time.Duration) *tracked {
-	e := &tracked{q: q, cell: c, from: from, deadline: now + q.TTL, attempts: q.Made}
+	e := &tracked{q: q, cell: c, from: from, deadline: now + q.TTL, attempts: q.PriorAttempts}
 	f.entries[q.ID] = e
 	c.open++
 	if from != nil {
@@ -95,8 +95,8 @@
 	}
 }
 
-// Open counts a connection that was established when this process started, or that another process brought up.
-func (f *Fleet) Open(now time.Duration, q policy.Request, server string) {
+// Inherit counts a connection that was established when this process started, or that another process brought up.
+func (f *Fleet) Inherit(now time.Duration, q policy.Request, server string) {
 	c := f.owners[server]
 	if c == nil {
 		c = f.root
@@ -104,20 +104,20 @@
 	e := f.track(q, c, nil, now)
 	e.attempts, e.out, e.server = 1, true, server
 	f.established(e)
-	c.module.Open(now, q, server)
+	c.module.Inherit(now, q, server)
 }
 
-// Allows tells whether an attempt may be written now, as the module that sent it sees it.
-func (f *Fleet) Allows(now time.Duration, id string) bool {
+// MayWrite tells whether an attempt may be written now, as the module that sent it sees it.
+func (f *Fleet) MayWrite(now time.Duration, id string) bool {
 	e := f.entries[id]
-	return e != nil && e.out && !e.gone && e.cell.module.Allows(now, id)
+	return e != nil && e.out && !e.gone && e.cell.module.MayWrite(now, id)
 }
 
-// First tells that a connection is established.
-func (f *Fleet) First(now time.Duration, id string) {
+// ConnectionEstablished tells that a connection is established.
+func (f *Fleet) ConnectionEstablished(now time.Duration, id string) {
 	if e := f.entries[id]; e != nil && e.out {
 		f.established(e)
-		e.cell.module.First(now, id)
+		e.cell.module.ConnectionEstablished(now, id)
 	}
 }
 
@@ -144,10 +144,10 @@
 // but where the attempt may have run and must not be repeated elsewhere, it has failed.
 func (f *Fleet) goHome(now time.Duration, e *tracked, result policy.Result) {
 	q := e.q
-	q.Made, q.TTL = e.attempts, e.deadline-now
+	q.PriorAttempts, q.TTL = e.attempts, e.deadline-now
 	f.untrack(q.ID)
 	e.cell.module.Outcome(now, q.ID, result, true)
-	neverRan := result == policy.TurnedAway || result == policy.ConnectFailed || result == policy.Moot
+	neverRan := result == policy.Rejected || result == policy.ConnectFailed || result == policy.NotSent
 	if !neverRan && f.set.Classes[q.Class].Effect != policy.Safe {
 		f.host.Fail(q.ID)
 		return
@@ -160,8 +160,8 @@
 	home.module.Request(now, q)
 }
 
-// Gone tells that the client left; an attempt that is out still gets its outcome.
-func (f *Fleet) Gone(now time.Duration, id string) {
+// ClientGone tells that the client left; an attempt that is out still gets its outcome.
+func (f *Fleet) ClientGone(now time.Duration, id string) {
 	e := f.entries[id]
 	if e == nil {
 		return
@@ -170,5 +170,5 @@
 	if !e.out {
 		f.untrack(id)
 	}
-	e.cell.module.Gone(now, id)
+	e.cell.module.ClientGone(now, id)
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -33,7 +33,7 @@
 	out := make([]policy.Server, len(l.Members))
 	for i, m := range l.Members {
 		out[i] = m.Server
-		out[i].Told = l.Told
+		out[i].NotifiedAt = l.Told
 	}
 	return out
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -70,7 +70,7 @@
 	w.Received(watchStart+7*time.Second, w.made, part(44, "terminating"))
 	assert.Equal(t, policy.LongAgo, r.last().Told, "nobody knows since when")
 	for _, s := range r.last().Servers() {
-		assert.Equal(t, policy.LongAgo, s.Told)
+		assert.Equal(t, policy.LongAgo, s.NotifiedAt)
 	}
 }
 
--- a/internal/lab/drainsearch/attempt.go
+++ b/internal/lab/drainsearch/attempt.go
@@ -99,7 +99,7 @@
 	case Errs:
 		b.afterAttempt(a, 2*ms, func(time.Duration) { b.ended(a, policy.Error) })
 	case Busy:
-		b.afterAttempt(a, 2*ms, func(time.Duration) { b.ended(a, policy.TurnedAway) })
+		b.afterAttempt(a, 2*ms, func(time.Duration) { b.ended(a, policy.Rejected) })
 	case Resets:
 		b.afterAttempt(a, 2*ms, func(time.Duration) { b.ended(a, policy.Reset) })
 	}
--- a/internal/lab/drainsearch/balancer.go
+++ b/internal/lab/drainsearch/balancer.go
@@ -63,7 +63,7 @@
 	b.listed, b.clients = map[string]bool{}, map[slot.ID]*client{}
 	set := b.settings()
 	b.watcher = discovery.NewWatcher("discovery", b, observer{b}, &b.deadlines)
-	b.watcher.Configure(!set.MustAsk, set.DrainGrace)
+	b.watcher.Configure(!set.MustWatch, set.DrainGrace)
 	b.do(func(now time.Duration) {
 		seed := b.world.script.Seed + uint64(b.number)<<32 + uint64(b.process)<<48
 		b.table = request.New(func(h policy.Host) request.Module { return cells.New(set, seed, h, nil) }, b, &b.deadlines, counters.Set{})
@@ -79,14 +79,14 @@
 	s := b.world.script
 	classes := map[string]policy.Class{}
 	for name, effect := range map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe} {
-		classes[name] = policy.Class{Aim: s.Aim, MessageAim: 250 * ms, Effect: effect, Window: 2 * time.Second}
+		classes[name] = policy.Class{SetupTarget: s.Aim, MessageTarget: 250 * ms, Effect: effect, DedupWindow: 2 * time.Second}
 	}
 	grace := s.Grace
 	if b.world.options.IgnoresGrace {
 		grace += time.Second
 	}
-	return policy.Settings{Classes: classes, MaxAttempts: 6, Siblings: s.Balancers, Tick: 4 * ms, MustAsk: !s.Pushed, AskWithin: s.AskWithin,
-		DrainGrace: grace, ColdFrom: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, Fall: time.Second}
+	return policy.Settings{Classes: classes, MaxAttempts: 6, Siblings: s.Balancers, Tick: 4 * ms, MustWatch: !s.Pushed, MaxWatchInterval: s.AskWithin,
+		DrainGrace: grace, ColdCapacityShare: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, OverloadSpan: time.Second}
 }
 
 // kill ends the process without a word.
--- a/internal/lab/drainsearch/watch.go
+++ b/internal/lab/drainsearch/watch.go
@@ -66,7 +66,7 @@
 }
 
 // Broken tells the module.
-func (o observer) Broken(now time.Duration) { o.table.Members(now, policy.Failed, nil) }
+func (o observer) Broken(now time.Duration) { o.table.Members(now, policy.WatchFailed, nil) }
 
 // Leased tells the module.
 func (o observer) Leased(now, until time.Duration) { o.table.Lease(now, until) }
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -98,9 +98,9 @@
 // Settings are those that the operators' pages give.
 func Settings(siblings int) policy.Settings {
 	ms := time.Millisecond
-	return policy.Settings{MaxAttempts: 6, Siblings: siblings, Tick: 4 * ms, AskWithin: 10 * time.Second, DrainGrace: 300 * ms,
-		ColdFrom: coldFrom, WarmAfter: warmAfter, OverloadFactor: fallMultiple, Fall: fallAfter, Classes: map[string]policy.Class{
-			"lookup": {Aim: 300 * ms, MessageAim: 250 * ms}, "seat-set": {Aim: 300 * ms, MessageAim: 50 * ms}}}
+	return policy.Settings{MaxAttempts: 6, Siblings: siblings, Tick: 4 * ms, MaxWatchInterval: 10 * time.Second, DrainGrace: 300 * ms,
+		ColdCapacityShare: coldFrom, WarmAfter: warmAfter, OverloadFactor: fallMultiple, OverloadSpan: fallAfter, Classes: map[string]policy.Class{
+			"lookup": {SetupTarget: 300 * ms, MessageTarget: 250 * ms}, "seat-set": {SetupTarget: 300 * ms, MessageTarget: 50 * ms}}}
 }
 
 func (v *Virtual) server(s Spec, state policy.State) policy.Server {
--- a/internal/lab/virtual_balancer.go
+++ b/internal/lab/virtual_balancer.go
@@ -31,7 +31,7 @@
 		v.Result.Foreign++
 	}
 	if c == nil || m == nil {
-		b.outcome(request, 0, policy.Moot)
+		b.outcome(request, 0, policy.NotSent)
 		return
 	}
 	m.Advance(v.now)
@@ -61,7 +61,7 @@
 	c.weight = c.load * max(v.weight[c.carrier], 1)
 	switch m.Open(v.now, c.weight, c.group, v.rng.Float64()) {
 	case Full:
-		b.outcome(request, hop, policy.TurnedAway)
+		b.outcome(request, hop, policy.Rejected)
 		return
 	case Fails:
 		b.outcome(request, hop, policy.Error)
@@ -69,7 +69,7 @@
 	}
 	v.final(c)
 	v.stands(c, m)
-	b.fleet.First(v.now, c.id)
+	b.fleet.ConnectionEstablished(v.now, c.id)
 	b.endsAfter(c)
 }
 
@@ -112,11 +112,11 @@
 	b.v.at(at, func() { b.fleet.Wake(b.v.now, name) })
 }
 
-// Tell, Ask, Watch and Log have nobody to reach here.
-func (b *virtualBalancer) Tell(uint32, time.Duration) {}
+// NotifySiblings, Ask, Watch and Log have nobody to reach here.
+func (b *virtualBalancer) NotifySiblings(uint32, time.Duration) {}
 
-// Ask does nothing.
-func (b *virtualBalancer) Ask(string) {}
+// Probe does nothing.
+func (b *virtualBalancer) Probe(string) {}
 
 // Watch does nothing.
 func (b *virtualBalancer) Watch(bool) {}
@@ -131,7 +131,7 @@
 		m := v.machines[s.ID]
 		if m.Advance(v.now); m.Up && m.conns > 0 {
 			if took := m.Message(v.now); took > messageAim/3 {
-				b.fleet.Delay(v.now, s.ID, took)
+				b.fleet.ServerDelay(v.now, s.ID, took)
 			}
 		}
 	}
--- a/internal/lab/virtual_client.go
+++ b/internal/lab/virtual_client.go
@@ -64,7 +64,7 @@
 	b.clients[c.id] = c
 	v.Result.Decisions++
 	b.fleet.Request(v.now, policy.Request{ID: c.id, Class: c.class, Key: c.group, HasKey: true, TTL: patience,
-		Returned: c.returned, Tenant: c.carrier})
+		Reconnecting: c.returned, Tenant: c.carrier})
 }
 
 // pick is the front's choice: any balancer, or the next one in the client's room.
--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -90,7 +90,7 @@
 	switch {
 	case n.stopping:
 		return "draining"
-	case n.count["discovery answers"] == 0 && (n.cfg.Settings.Policy.MustAsk || n.now() < n.listDue):
+	case n.count["discovery answers"] == 0 && (n.cfg.Settings.Policy.MustWatch || n.now() < n.listDue):
 		return "no list of desk hosts from discovery yet"
 	}
 	return ""
--- a/internal/net/delay.go
+++ b/internal/net/delay.go
@@ -50,8 +50,8 @@
 func (s *delays) aims(set policy.Settings) {
 	s.third = 0
 	for _, c := range set.Classes {
-		if c.MessageAim > 0 && (s.third == 0 || c.MessageAim/3 < s.third) {
-			s.third = c.MessageAim / 3
+		if c.MessageTarget > 0 && (s.third == 0 || c.MessageTarget/3 < s.third) {
+			s.third = c.MessageTarget / 3
 		}
 	}
 }
--- a/internal/net/dialfailure.go
+++ b/internal/net/dialfailure.go
@@ -62,7 +62,7 @@
 		u.closed(now, false)
 		return
 	}
-	u.close(now, false, policy.Moot)
+	u.close(now, false, policy.NotSent)
 }
 
 // unreached ends the probe without a word to the module, which goes on without the report after a while.
--- a/internal/net/downstream.go
+++ b/internal/net/downstream.go
@@ -200,7 +200,7 @@
 // request is an opening as the module takes it.
 func (n *Node) request(o line.Opening) policy.Request {
 	return policy.Request{ID: o.ID, Class: o.Class, Key: n.groupKey(o), HasKey: true, TTL: max(o.Wait-margin, 0),
-		MidFlow: o.MidFlow, Returned: o.Returned, Tenant: o.Carrier}
+		MidFlow: o.MidFlow, Reconnecting: o.Returned, Tenant: o.Carrier}
 }
 
 // groupKey is what an opening is placed by: its group's key where groups are on, else its own.
--- a/internal/net/gate_test.go
+++ b/internal/net/gate_test.go
@@ -42,7 +42,7 @@
 		require.Eventually(t, u.downstream.hungUp, limit, time.Millisecond)
 	}, 0)
 	assert.False(t, ok)
-	assert.Equal(t, policy.Moot, result)
+	assert.Equal(t, policy.NotSent, result)
 	require.NoError(t, r.step("let"))
 	require.NoError(t, r.step("wait count clients gone before their answer 1"))
 	require.NoError(t, r.step("wait count attempts written 0"))
--- a/internal/net/standing.go
+++ b/internal/net/standing.go
@@ -20,7 +20,7 @@
 		switch kind, rest := line.Parse(text); kind {
 		case line.Load:
 			if level, ok := line.LoadOf(rest); ok {
-				n.table.Note(now, d.request, policy.NoteLoad, level)
+				n.table.Note(now, d.request, policy.MetricLoad, level)
 			}
 		case line.Bye:
 			u.last = policy.OK
--- a/internal/net/upstream.go
+++ b/internal/net/upstream.go
@@ -105,7 +105,7 @@
 		u.node.table.Up(now, u.downstream.request)
 		u.downstream.traffic(now)
 	case line.Busy:
-		u.close(now, false, policy.TurnedAway)
+		u.close(now, false, policy.Rejected)
 	case line.Move:
 		u.close(now, false, policy.Cancelled)
 	default:
--- a/internal/net/watch.go
+++ b/internal/net/watch.go
@@ -33,7 +33,7 @@
 }
 
 // configure takes the settings in force.
-func (w *watch) configure(set policy.Settings) { w.watcher.Configure(!set.MustAsk, set.DrainGrace) }
+func (w *watch) configure(set policy.Settings) { w.watcher.Configure(!set.MustWatch, set.DrainGrace) }
 
 // Dial makes a connection to discovery.
 func (w *watch) Dial(_ time.Duration, connection int, address string, limit time.Duration) {
@@ -55,7 +55,7 @@
 }
 
 // Broken tells the module, which asks again when it sees fit.
-func (w *watch) Broken(now time.Duration) { w.node.table.Members(now, policy.Failed, nil) }
+func (w *watch) Broken(now time.Duration) { w.node.table.Members(now, policy.WatchFailed, nil) }
 
 // Leased tells the module until when the list may be used.
 func (w *watch) Leased(now, until time.Duration) {
--- a/internal/placement/weigher.go
+++ b/internal/placement/weigher.go
@@ -29,7 +29,7 @@
 // Take takes what is told of the list, and returns what is to be handed on in its place: besides, those whose weight
 // has changed by it.
 func (w *Weigher) Take(now time.Duration, kind policy.MembersKind, entries []policy.Server) []policy.Server {
-	if kind == policy.Failed {
+	if kind == policy.WatchFailed {
 		return entries
 	}
 	if kind != policy.Delta {
--- a/internal/placement/weigher_test.go
+++ b/internal/placement/weigher_test.go
@@ -52,7 +52,7 @@
 				}
 				take(w.Take(now, kind, news))
 			},
-			"failed": func(t *rapid.T) { assert.Empty(t, w.Take(now, policy.Failed, nil)) },
+			"failed": func(t *rapid.T) { assert.Empty(t, w.Take(now, policy.WatchFailed, nil)) },
 			"plan": func(t *rapid.T) {
 				if plan = nil; rapid.Bool().Draw(t, "planned") {
 					plan = p
@@ -92,8 +92,8 @@
 func (s *sent) Refuse(string, time.Duration, policy.Reason) { s.refused++ }
 func (s *sent) Fail(string)                                 { s.refused++ }
 func (s *sent) Move(string)                                 {}
-func (s *sent) Tell(uint32, time.Duration)                  {}
-func (s *sent) Ask(string)                                  {}
+func (s *sent) NotifySiblings(uint32, time.Duration)        {}
+func (s *sent) Probe(string)                                {}
 func (s *sent) Wake(time.Duration, int64)                   {}
 func (s *sent) Watch(bool)                                  {}
 func (s *sent) Log(string)                                  {}
@@ -106,8 +106,8 @@
 		p.Rooms["a"][s.ID] = 0.1
 	}
 	p.Rooms["a"]["h0"] = 5
-	set := policy.Settings{Classes: map[string]policy.Class{"lookup": {Aim: 300 * time.Millisecond}}, MaxAttempts: 6, Siblings: 1,
-		Tick: time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdFrom: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, Fall: time.Second}
+	set := policy.Settings{Classes: map[string]policy.Class{"lookup": {SetupTarget: 300 * time.Millisecond}}, MaxAttempts: 6, Siblings: 1,
+		Tick: time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdCapacityShare: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, OverloadSpan: time.Second}
 	run := func(state policy.State, started time.Duration, fails bool) int {
 		host := &sent{to: map[string]int{}}
 		b, w, now := policy.New(set, 1, host), NewWeigher(p, "a"), at(0)
@@ -121,7 +121,7 @@
 			if fails && host.to["h0"] > before {
 				b.Outcome(now, id, policy.ConnectFailed, false)
 			}
-			b.First(now, id)
+			b.ConnectionEstablished(now, id)
 		}
 		return host.to["h0"]
 	}
--- a/internal/request/attempt.go
+++ b/internal/request/attempt.go
@@ -19,7 +19,7 @@
 	if err := t.carrier.Begin(req.owner, server, until); err != nil {
 		result := policy.ConnectFailed
 		if errors.Is(err, ErrNoRoom) {
-			result = policy.Moot
+			result = policy.NotSent
 		}
 		t.queue = append(t.queue, func(time.Duration) { t.ended(req, result) })
 	}
@@ -39,12 +39,12 @@
 	default:
 		return 0, true
 	}
-	return policy.Moot, false
+	return policy.NotSent, false
 }
 
 func (t *Table) allows(now time.Duration, id slot.ID) bool {
 	req, ok := t.requests.Get(id)
-	return ok && req.out && !req.answered && (req.handed || t.module.Allows(now, req.name))
+	return ok && req.out && !req.answered && (req.handed || t.module.MayWrite(now, req.name))
 }
 
 // Up tells that the attempt has brought up the connection.
@@ -57,7 +57,7 @@
 	t.deadlines.Stop(req.until)
 	req.stands = true
 	t.answered(req, completed)
-	t.module.First(now, req.name)
+	t.module.ConnectionEstablished(now, req.name)
 	t.settle()
 }
 
@@ -76,9 +76,9 @@
 }
 
 // Results are the names of how attempts and connections end.
-var Results = map[policy.Result]string{policy.OK: "ok", policy.Error: "error", policy.TurnedAway: "busy",
+var Results = map[policy.Result]string{policy.OK: "ok", policy.Error: "error", policy.Rejected: "busy",
 	policy.Timeout: "timeout", policy.ConnectFailed: "connect failed", policy.Reset: "reset",
-	policy.Cancelled: "cancelled", policy.Moot: "moot"}
+	policy.Cancelled: "cancelled", policy.NotSent: "moot"}
 
 // ended tells the module the one outcome of an attempt.
 func (t *Table) ended(req *request, result policy.Result) {
--- a/internal/request/handed.go
+++ b/internal/request/handed.go
@@ -11,7 +11,7 @@
 func (t *Table) Hand(now time.Duration, owner slot.ID, q policy.Request, server string) slot.ID {
 	req := t.add(owner, q)
 	q.ID, t.now, req.handed = req.name, now, true
-	t.module.Open(now, q, server)
+	t.module.Inherit(now, q, server)
 	t.begin(req, server, q.TTL)
 	t.settle()
 	return req.id
@@ -22,7 +22,7 @@
 	req := t.add(owner, q)
 	q.ID, t.now = req.name, now
 	req.out, req.stands, req.answered = true, true, true // answered, and counted, there
-	t.module.Open(now, q, server)
+	t.module.Inherit(now, q, server)
 	t.settle()
 	return req.id
 }
@@ -38,4 +38,4 @@
 }
 
 // Succeed tells that this process takes over from another one of this balancer.
-func (t *Table) Succeed(now time.Duration) { t.module.Succeed(now) }
+func (t *Table) Succeed(now time.Duration) { t.module.TakeOver(now) }
--- a/internal/request/host.go
+++ b/internal/request/host.go
@@ -14,7 +14,7 @@
 	if req == nil || req.out || req.answered {
 		// Danger: two attempts in flight. The module is owed an outcome all the same.
 		h.queue = append(h.queue, func(now time.Duration) {
-			h.module.Outcome(now, name, policy.Moot, req == nil || req.answered)
+			h.module.Outcome(now, name, policy.NotSent, req == nil || req.answered)
 		})
 		return
 	}
@@ -48,11 +48,11 @@
 	h.queue = append(h.queue, func(time.Duration) { h.ended(req, policy.Cancelled) })
 }
 
-// Tell has nobody to tell: these balancers have no way to talk to each other.
-func (h host) Tell(uint32, time.Duration) {}
+// NotifySiblings has nobody to tell: these balancers have no way to talk to each other.
+func (h host) NotifySiblings(uint32, time.Duration) {}
 
-// Ask has the carrier ask a server for a report.
-func (h host) Ask(server string) { h.carrier.Ask(server) }
+// Probe has the carrier ask a server for a report.
+func (h host) Probe(server string) { h.carrier.Ask(server) }
 
 func (h host) Wake(at time.Duration, name int64) {
 	h.deadlines.Set(at, func(now time.Duration) {
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -36,20 +36,20 @@
 // Module decides: one policy.Balancer, or several behind one face. It acts through the policy.Host that it was made
 // with, and none of its methods is called while another one is at work.
 type Module interface {
-	Adopt(policy.Settings)
+	ApplySettings(policy.Settings)
 	Members(now time.Duration, kind policy.MembersKind, entries []policy.Server)
 	Lease(now, until time.Duration)
-	Listed(now time.Duration) (listed, avoided int)
+	ServerCounts(now time.Duration) (listed, avoided int)
 	Request(now time.Duration, q policy.Request)
-	Open(now time.Duration, q policy.Request, server string)
-	Allows(now time.Duration, id string) bool
-	First(now time.Duration, id string)
+	Inherit(now time.Duration, q policy.Request, server string)
+	MayWrite(now time.Duration, id string) bool
+	ConnectionEstablished(now time.Duration, id string)
 	Outcome(now time.Duration, id string, result policy.Result, over bool)
-	Gone(now time.Duration, id string)
-	Note(now time.Duration, id string, kind policy.NoteKind, level float64)
-	Delay(now time.Duration, server string, delay time.Duration)
-	Reported(now time.Duration, server string, report policy.Report)
-	Succeed(now time.Duration)
+	ClientGone(now time.Duration, id string)
+	ConnectionMetric(now time.Duration, id string, kind policy.MetricKind, level float64)
+	ServerDelay(now time.Duration, server string, delay time.Duration)
+	ProbeResult(now time.Duration, server string, report policy.Report)
+	TakeOver(now time.Duration)
 	Wake(now time.Duration, name int64)
 }
 
@@ -95,7 +95,7 @@
 }
 
 // Adopt has the module go on by other settings.
-func (t *Table) Adopt(set policy.Settings) { t.module.Adopt(set) }
+func (t *Table) Adopt(set policy.Settings) { t.module.ApplySettings(set) }
 
 // Len is how many requests there are, standing connections included.
 func (t *Table) Len() int { return t.requests.Len() }
@@ -104,7 +104,7 @@
 func (t *Table) Ends() map[string]counters.Ends { return maps.Clone(t.ends) }
 
 // Listed is how many servers the list names, and how many of them the module avoids now.
-func (t *Table) Listed(now time.Duration) (listed, avoided int) { return t.module.Listed(now) }
+func (t *Table) Listed(now time.Duration) (listed, avoided int) { return t.module.ServerCounts(now) }
 
 // Owed is how many requests still wait for their final answer.
 func (t *Table) Owed() (n int) {
@@ -178,7 +178,7 @@
 	t.now = now
 	if !req.answered {
 		req.answered = true
-		t.module.Gone(now, req.name)
+		t.module.ClientGone(now, req.name)
 	}
 	if req.out {
 		if !req.stands {
@@ -192,10 +192,10 @@
 }
 
 // Note tells of a standing connection.
-func (t *Table) Note(now time.Duration, id slot.ID, kind policy.NoteKind, level float64) {
+func (t *Table) Note(now time.Duration, id slot.ID, kind policy.MetricKind, level float64) {
 	if req, ok := t.requests.Get(id); ok {
 		t.now = now
-		t.module.Note(now, req.name, kind, level)
+		t.module.ConnectionMetric(now, req.name, kind, level)
 		t.settle()
 	}
 }
@@ -203,14 +203,14 @@
 // Delay tells how long a message takes now at a server.
 func (t *Table) Delay(now time.Duration, server string, delay time.Duration) {
 	t.now = now
-	t.module.Delay(now, server, delay)
+	t.module.ServerDelay(now, server, delay)
 	t.settle()
 }
 
 // Reported tells what a server's report lets expect of a message's time, or that it gave none.
 func (t *Table) Reported(now time.Duration, server string, report policy.Report) {
 	t.now = now
-	t.module.Reported(now, server, report)
+	t.module.ProbeResult(now, server, report)
 	t.settle()
 }
 
--- a/internal/request/table_test.go
+++ b/internal/request/table_test.go
@@ -25,8 +25,8 @@
 
 func newBench(servers ...string) *bench {
 	b := &bench{dead: map[string]bool{}}
-	set := policy.Settings{MaxAttempts: 6, Tick: time.Millisecond, Fall: time.Second,
-		Classes: map[string]policy.Class{"c": {Aim: 300 * time.Millisecond, MessageAim: 50 * time.Millisecond}}}
+	set := policy.Settings{MaxAttempts: 6, Tick: time.Millisecond, OverloadSpan: time.Second,
+		Classes: map[string]policy.Class{"c": {SetupTarget: 300 * time.Millisecond, MessageTarget: 50 * time.Millisecond}}}
 	b.Table = New(func(h policy.Host) Module { return policy.New(set, 7, h) }, b, &b.q, counters.Set{})
 	var list []policy.Server
 	for _, s := range servers {
@@ -161,7 +161,7 @@
 		b.Up(t0, ids[owner])
 	}
 	b.takeTold()
-	b.Note(t0, ids[0], policy.NoteDelay, 5000)
+	b.Note(t0, ids[0], policy.MetricDelay, 5000)
 	told := b.takeTold()
 	assert.Len(t, told, 2, "half at the most: %v", told)
 	assert.Equal(t, 2, b.Len())
@@ -178,7 +178,7 @@
 	assert.Empty(t, b.takeTold())
 	assert.Len(t, b.queue, 1)
 	host{b.Table}.Send("not a name", "u", time.Second)
-	host{b.Table}.Refuse("77", 0, policy.NoTime)
+	host{b.Table}.Refuse("77", 0, policy.NoTimeLeft)
 	host{b.Table}.Move(req.name) // does not stand
 	assert.Empty(t, b.takeTold())
 }
@@ -195,7 +195,7 @@
 	assert.Equal(t, map[string]counters.Ends{"c": {Completed: 1}}, b.Ends())
 	b.Left(t0, take(b, 2))
 	refused := take(b, 3)
-	b.Ended(t0, refused, policy.TurnedAway)
+	b.Ended(t0, refused, policy.Rejected)
 	b.Left(t0, refused)
 	b.Refused("c")
 	assert.Equal(t, counters.Ends{Completed: 1, Rejected: 2}, b.Ends()["c"])
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -20,7 +20,7 @@
 	case "allowed":
 		Object(d.l, d.allowed)
 	case "discovery":
-		p.MustAsk = d.l.String() == "subscribe"
+		p.MustWatch = d.l.String() == "subscribe"
 	case "locality":
 		p.Zone = d.l.String()
 	case "familyInfo":
@@ -28,7 +28,7 @@
 	case "grades":
 		Array(d.l, func() {
 			// the strictest, for a word not known
-			g := grade{class: policy.Class{Effect: policy.Unsafe, Scope: policy.ScopeCell}}
+			g := grade{class: policy.Class{Effect: policy.Unsafe, DedupScope: policy.ScopeCell}}
 			Object(d.l, func(field string) { d.grade(&g, field) })
 			d.grades = append(d.grades, g)
 		})
@@ -46,7 +46,7 @@
 	case "tryLimit":
 		d.out.Policy.MaxAttempts = d.l.Int()
 	case "peers":
-		d.out.Policy.Peers = d.l.Bool()
+		d.out.Policy.SiblingMessaging = d.l.Bool()
 	case "probing":
 		d.out.Probes = d.l.Bool()
 	case "retryAfter":
@@ -63,7 +63,7 @@
 	case "messageAim":
 		Array(d.l, func() { d.messageAims = append(d.messageAims, d.time()) })
 	case "tenantQuotaConnections":
-		Array(d.l, func() { d.out.Policy.Shared += max(d.l.Float64(), 0) })
+		Array(d.l, func() { d.out.Policy.QuotaConnections += max(d.l.Float64(), 0) })
 	case "groups":
 		d.out.Groups = d.l.Bool()
 	case "mode":
@@ -78,7 +78,7 @@
 	case "name":
 		g.name = d.l.String()
 	case "aim":
-		g.class.Aim = d.time()
+		g.class.SetupTarget = d.time()
 	case "deadline":
 		g.deadline = d.time()
 		d.out.Deadline = max(d.out.Deadline, g.deadline)
@@ -88,10 +88,10 @@
 		}
 	case "dedupScope":
 		if scope, ok := scopes[d.l.String()]; ok {
-			g.class.Scope = scope
+			g.class.DedupScope = scope
 		}
 	case "repeatWindow":
-		g.class.Window = d.time()
+		g.class.DedupWindow = d.time()
 	default:
 		d.l.SkipRecursive()
 	}
@@ -101,9 +101,9 @@
 	p := &d.out.Policy
 	switch field {
 	case "askWithin":
-		p.AskWithin = d.time()
+		p.MaxWatchInterval = d.time()
 	case "coldFrom":
-		p.ColdFrom = d.l.Float64()
+		p.ColdCapacityShare = d.l.Float64()
 	case "warmAfter":
 		p.WarmAfter = d.time()
 	case "stopSendingWithin":
@@ -111,15 +111,15 @@
 	case "overloadFactor":
 		p.OverloadFactor = d.l.Float64()
 	case "fall":
-		p.Fall = d.time()
+		p.OverloadSpan = d.time()
 	case "spareAttempts":
 		d.spare = new(d.l.Float64())
 	case "resendRatio":
 		d.ratio = new(d.l.Float64())
 	case "ratioSpan":
-		p.BudgetSpan = d.time()
+		p.RetryBudgetSpan = d.time()
 	case "onlyDrainingBinds":
-		p.OnlyDrainingBinds = d.l.Bool()
+		p.GoneServersUsable = d.l.Bool()
 	default:
 		d.l.SkipRecursive()
 	}
@@ -128,7 +128,7 @@
 func (d *decoder) prices(field string) {
 	switch field {
 	case "crossZone":
-		d.out.Policy.Crossing = max(d.l.Float64(), 0)
+		d.out.Policy.CrossZoneCost = max(d.l.Float64(), 0)
 	default:
 		d.l.SkipRecursive()
 	}
@@ -139,21 +139,21 @@
 	p := &d.out.Policy
 	given := d.spare != nil || d.ratio != nil
 	switch {
-	case p.BudgetSpan < 0:
-		return fmt.Errorf("settings: ratioSpan of %v", p.BudgetSpan)
-	case given && p.BudgetSpan == 0:
+	case p.RetryBudgetSpan < 0:
+		return fmt.Errorf("settings: ratioSpan of %v", p.RetryBudgetSpan)
+	case given && p.RetryBudgetSpan == 0:
 		return errors.New("settings: a budget of attempts without its ratioSpan")
-	case !given && p.BudgetSpan > 0:
+	case !given && p.RetryBudgetSpan > 0:
 		return errors.New("settings: a ratioSpan without spareAttempts or resendRatio")
 	}
 	if d.spare != nil {
-		p.SpareAttempts = *d.spare
+		p.RetryBudgetBase = *d.spare
 	}
 	if d.ratio != nil {
-		p.AttemptShare = *d.ratio
+		p.RetryBudgetRatio = *d.ratio
 	}
-	if p.SpareAttempts < 0 || p.AttemptShare < 0 {
-		return fmt.Errorf("settings: a budget of %v spare attempts and a ratio of %v", p.SpareAttempts, p.AttemptShare)
+	if p.RetryBudgetBase < 0 || p.RetryBudgetRatio < 0 {
+		return fmt.Errorf("settings: a budget of %v spare attempts and a ratio of %v", p.RetryBudgetBase, p.RetryBudgetRatio)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -116,12 +116,12 @@
 		return Settings{}, err
 	}
 	p.MaxAttempts = max(p.MaxAttempts, 1)
-	p.Asks = asks && d.out.Probes
+	p.Probes = asks && d.out.Probes
 	p.Tick = max(p.Tick, time.Millisecond)
 	p.Classes = make(map[string]policy.Class, len(d.grades))
 	for i, g := range d.grades {
 		if i < len(d.messageAims) {
-			g.class.MessageAim = d.messageAims[i]
+			g.class.MessageTarget = d.messageAims[i]
 		}
 		p.Classes[g.name] = g.class
 	}
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -27,13 +27,13 @@
 	require.NoError(t, err)
 	assert.Equal(t, Settings{ConnectTimeout: 150 * time.Millisecond, Groups: true, Probes: true, RetryAfter: true, PassThrough: true,
 		Deadline: 1200 * time.Millisecond,
-		Policy: policy.Settings{MaxAttempts: 6, Siblings: 2, Tick: 4 * time.Millisecond, MustAsk: true, Zone: "llandaff",
-			AskWithin: 10 * time.Second, ColdFrom: 0.15, Fall: time.Second, OverloadFactor: 3,
+		Policy: policy.Settings{MaxAttempts: 6, Siblings: 2, Tick: 4 * time.Millisecond, MustWatch: true, Zone: "llandaff",
+			MaxWatchInterval: 10 * time.Second, ColdCapacityShare: 0.15, OverloadSpan: time.Second, OverloadFactor: 3,
 			DrainGrace: 300 * time.Millisecond, WarmAfter: 22 * time.Second,
 			Classes: map[string]policy.Class{
-				"lookup": {Aim: 300 * time.Millisecond, MessageAim: 250 * time.Millisecond, Window: 5 * time.Second},
-				"seat-set": {Aim: 300 * time.Millisecond, MessageAim: 50 * time.Millisecond,
-					Effect: policy.Unsafe, Scope: policy.ScopeCell}, // the strictest, for words not known
+				"lookup": {SetupTarget: 300 * time.Millisecond, MessageTarget: 250 * time.Millisecond, DedupWindow: 5 * time.Second},
+				"seat-set": {SetupTarget: 300 * time.Millisecond, MessageTarget: 50 * time.Millisecond,
+					Effect: policy.Unsafe, DedupScope: policy.ScopeCell}, // the strictest, for words not known
 			}}}, got)
 }
 
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -43,9 +43,9 @@
 }
 
 var results = map[string]policy.Result{
-	"done": policy.OK, "err": policy.Error, "busy": policy.TurnedAway, "etimedout": policy.Timeout,
+	"done": policy.OK, "err": policy.Error, "busy": policy.Rejected, "etimedout": policy.Timeout,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset, "ecanceled": policy.Cancelled,
-	"skipped": policy.Moot,
+	"skipped": policy.NotSent,
 }
 
 // Bits of `bits`: packets of an established connection, a client that is back after a break or a move.
@@ -66,7 +66,7 @@
 	Result   policy.Result
 	Over     bool
 	Timer    int64 // Wake
-	Note     policy.NoteKind
+	Note     policy.MetricKind
 	Level    float64
 	Peer     uint32        // Memo: the hash of the server that it tells of
 	Delay    time.Duration // Memo
@@ -136,7 +136,7 @@
 		e.Request.Key, e.Request.HasKey, d.grouped = l.Uint64(), true, true
 	case "bits":
 		bits := l.Int64()
-		e.Request.MidFlow, e.Request.Returned = bits&midFlowBit != 0, bits&returnedBit != 0
+		e.Request.MidFlow, e.Request.Reconnecting = bits&midFlowBit != 0, bits&returnedBit != 0
 	case "server":
 		e.Server = d.name(l)
 	case "disposition":
@@ -150,7 +150,7 @@
 	case "name":
 		e.Timer = l.Int64()
 	case "sort":
-		e.Note = policy.NoteKind(l.Int())
+		e.Note = policy.MetricKind(l.Int())
 	case "level":
 		e.Level = l.Float64()
 	case "contents":
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -104,11 +104,11 @@
 	e.end()
 }
 
-// Ask says nothing: on this wire load is told by notes on connections, and no settings from it allow asking.
-func (e *Encoder) Ask(string) {}
+// Probe says nothing: on this wire load is told by notes on connections, and no settings from it allow asking.
+func (e *Encoder) Probe(string) {}
 
-// Tell sends a message to all peers: the server's hash, and milliseconds in two bytes, as each is paid for.
-func (e *Encoder) Tell(server uint32, delay time.Duration) {
+// NotifySiblings sends a message to all peers: the server's hash, and milliseconds in two bytes, as each is paid for.
+func (e *Encoder) NotifySiblings(server uint32, delay time.Duration) {
 	message := binary.BigEndian.AppendUint32(nil, server)
 	message = binary.BigEndian.AppendUint16(message, uint16(min(delay.Milliseconds(), math.MaxUint16)))
 	e.begin("writePeer")
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -68,7 +68,7 @@
 		case List:
 			h.lists[e.Slot] = append([]policy.Server(nil), e.Entries...)
 		case Members:
-			if _, ok := h.lists[e.Slot]; !ok && e.Form != policy.Failed {
+			if _, ok := h.lists[e.Slot]; !ok && e.Form != policy.WatchFailed {
 				return fmt.Errorf("list %d was never sent", e.Slot)
 			}
 			h.guarded(now, e)
@@ -128,17 +128,17 @@
 	case Request:
 		b.Request(now, e.Request)
 	case Open:
-		b.Open(now, e.Request, e.Server)
+		b.Inherit(now, e.Request, e.Server)
 	case First:
-		b.First(now, e.Request.ID)
+		b.ConnectionEstablished(now, e.Request.ID)
 	case Outcome:
 		b.Outcome(now, e.Request.ID, e.Result, e.Over)
 	case Note:
-		b.Note(now, e.Request.ID, e.Note, e.Level)
+		b.ConnectionMetric(now, e.Request.ID, e.Note, e.Level)
 	case Memo:
-		b.Heard(now, e.Peer, e.Delay)
+		b.SiblingDelay(now, e.Peer, e.Delay)
 	case Gone:
-		b.Gone(now, e.Request.ID)
+		b.ClientGone(now, e.Request.ID)
 	case Wake:
 		b.Wake(now, e.Timer)
 	}
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -142,7 +142,7 @@
 	var e Encoder
 	e.For(2)
 	e.Send("r", "s", 5)
-	e.Refuse("r", 0, policy.NoTime)
+	e.Refuse("r", 0, policy.NoTimeLeft)
 	e.Refuse("r", 7, policy.NoServer)
 	e.Fail("r")
 	e.Move("r")
@@ -187,7 +187,7 @@
 	}{{0xfedcba98, 270 * time.Millisecond, 270 * time.Millisecond}, {7, time.Hour, 65535 * time.Millisecond}} {
 		var enc Encoder
 		enc.For(3)
-		enc.Tell(c.server, c.sent)
+		enc.NotifySiblings(c.server, c.sent)
 		line := strings.Split(string(enc.Done(1)), "\n")[0]
 		if !strings.HasPrefix(line, `{"writePeer":{"balancer":3,"whom":"*","contents":"`) {
 			t.Fatalf("wrote %s", line)
@@ -212,11 +212,11 @@
 	for text, want := range map[string]policy.Settings{
 		"": {},
 		`"spareAttempts":2.0,"resendRatio":0.03,"ratioSpan":2000000000`: {
-			BudgetSpan: 2 * time.Second, SpareAttempts: 2, AttemptShare: 0.03},
-		`"spareAttempts":3,"resendRatio":0,"ratioSpan":5000000000`: {BudgetSpan: 5 * time.Second, SpareAttempts: 3},
-		`"resendRatio":0.1,"ratioSpan":1000000000`:                 {BudgetSpan: time.Second, AttemptShare: 0.1},
+			RetryBudgetSpan: 2 * time.Second, RetryBudgetBase: 2, RetryBudgetRatio: 0.03},
+		`"spareAttempts":3,"resendRatio":0,"ratioSpan":5000000000`: {RetryBudgetSpan: 5 * time.Second, RetryBudgetBase: 3},
+		`"resendRatio":0.1,"ratioSpan":1000000000`:                 {RetryBudgetSpan: time.Second, RetryBudgetRatio: 0.1},
 		`"spareAttempts":null,"resendRatio":null,"ratioSpan":null`: {},
-		`"onlyDrainingBinds":true`:                                 {OnlyDrainingBinds: true},
+		`"onlyDrainingBinds":true`:                                 {GoneServersUsable: true},
 		`"onlyDrainingBinds":false`:                                {},
 	} {
 		e, err := NewDecoder().Line(bootWith(text))
@@ -225,8 +225,8 @@
 			continue
 		}
 		got := e.Settings
-		if got.BudgetSpan != want.BudgetSpan || got.SpareAttempts != want.SpareAttempts || got.Zone != "z" ||
-			got.AttemptShare != want.AttemptShare || got.OnlyDrainingBinds != want.OnlyDrainingBinds {
+		if got.RetryBudgetSpan != want.RetryBudgetSpan || got.RetryBudgetBase != want.RetryBudgetBase || got.Zone != "z" ||
+			got.RetryBudgetRatio != want.RetryBudgetRatio || got.GoneServersUsable != want.GoneServersUsable {
 			t.Errorf("%s: %+v", text, got)
 		}
 	}
--- a/policy/akin_test.go
+++ b/policy/akin_test.go
@@ -18,7 +18,7 @@
 	b.set.Zone = "z0"
 	for i, s := range servers {
 		if i%4 < 2 {
-			b.Open(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
+			b.Inherit(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
 		}
 	}
 	return b, h, servers
@@ -38,7 +38,7 @@
 func TestServersBehindOneLinkAreBlamedTogether(t *testing.T) {
 	b, _, servers := zoned(t)
 	for _, s := range servers[4:6] {
-		b.Heard(t0, b.servers[s.ID].hash, 300*ms)
+		b.SiblingDelay(t0, b.servers[s.ID].hash, 300*ms)
 		b.eject(t0, b.servers[s.ID])
 	}
 	for i, why := range whys(b, t0, servers) {
@@ -56,7 +56,7 @@
 	if why := whys(b, t0+time.Minute, servers); why[6] != eligible {
 		t.Error("blamed for ever")
 	}
-	b.Open(t0, req("proof", 99), servers[7].ID)
+	b.Inherit(t0, req("proof", 99), servers[7].ID)
 	if why := whys(b, t0, servers); why[6] != eligible {
 		t.Error("blamed though one of its zone serves us")
 	}
--- a/policy/answer_test.go
+++ b/policy/answer_test.go
@@ -16,7 +16,7 @@
 }
 
 func TestNothingToWaitForIsAnsweredAtOnce(t *testing.T) {
-	aim := settings().Classes["safe"].Aim
+	aim := settings().Classes["safe"].SetupTarget
 	servers := fleet(2)
 	b, h := newBalancer(t, called(Draining, servers))
 	if hint := answered(b, h, t0, req("r", 1)); hint < 2*aim || hint > 4*aim {
@@ -24,14 +24,14 @@
 	}
 	b, h = newBalancer(t, servers)
 	send(t, b, h, t0, req("r", 1))
-	b.Outcome(t0, "r", TurnedAway, false)
+	b.Outcome(t0, "r", Rejected, false)
 	h.actions = nil
-	b.Outcome(t0, "r", TurnedAway, false)
+	b.Outcome(t0, "r", Rejected, false)
 	if got := h.take("refuse"); len(got) != 1 {
 		t.Errorf("every server turned it away: %v", got)
 	}
 	set := settings() // a list that comes by itself names nobody
-	set.MustAsk = false
+	set.MustWatch = false
 	b, h = newBalancerWith(t, set, nil)
 	if hint := answered(b, h, t0, req("r", 1)); hint < 2*aim {
 		t.Errorf("empty list: hint %v", hint)
@@ -88,7 +88,7 @@
 		}
 		b.Request(t0+500*ms, req("b", 3))
 		h.actions = nil
-		b.Outcome(t0+500*ms, "b", TurnedAway, false)
+		b.Outcome(t0+500*ms, "b", Rejected, false)
 		got := h.take("refuse")
 		if len(got) != 1 || got[0].d < 1500*ms || got[0].d > 3*time.Second+1 {
 			t.Fatalf("refusals %v, want one with a hint of 1.5 to 3 s", got)
@@ -103,7 +103,7 @@
 // What was lost on the way is not waited for longer than the aim while another attempt may follow; where most of
 // the fleet fails an attempt has half of the time, and where none may follow all of it.
 func TestTimeoutLeavesTimeForAnotherAttempt(t *testing.T) {
-	aim := settings().Classes["safe"].Aim
+	aim := settings().Classes["safe"].SetupTarget
 	b, h := rationed(t, 1, 0)
 	sent := func(id string) time.Duration {
 		h.actions = nil
@@ -137,7 +137,7 @@
 	b, h := newBalancer(t, nil)
 	b.Request(t0, req("stays", 3))
 	b.Request(t0, req("leaves", 4))
-	b.Gone(t0+ms, "leaves")
+	b.ClientGone(t0+ms, "leaves")
 	b.Members(t0+2*ms, Full, fleet(2))
 	h.actions = nil
 	b.Wake(t0+200*ms, timerHeld)
--- a/policy/api.go
+++ b/policy/api.go
@@ -29,39 +29,39 @@
 
 // Class is one class of requests.
 type Class struct {
-	Aim        time.Duration // a set-up within this time counts in full
-	MessageAim time.Duration // a message on an open connection should take no longer; 0 where unknown
-	Effect     Effect
-	Scope      Scope         // for Keyed
-	Window     time.Duration // for Keyed: how long duplicates are remembered
+	SetupTarget   time.Duration // a set-up within this time counts in full
+	MessageTarget time.Duration // a message on an open connection should take no longer; 0 where unknown
+	Effect        Effect
+	DedupScope    Scope         // for Keyed
+	DedupWindow   time.Duration // for Keyed: how long duplicates are remembered
 }
 
 // Settings are what an instance is told at its start. Zero values mean "not told".
 type Settings struct {
-	Classes        map[string]Class
-	MaxAttempts    int
-	Siblings       int           // balancers that share the servers, this one included; none counts as one
-	Peers          bool          // siblings may talk to each other
-	Asks           bool          // servers may be asked for a report; see Host.Ask
-	Shared         float64       // open connections inside the tenants' shares, over all siblings; 0 where not told
-	Tick           time.Duration // least spacing of events
-	MustAsk        bool          // the list of servers comes only to those who watch it
-	AskWithin      time.Duration // without a watch, ask at least this often
-	DrainGrace     time.Duration // sends to a draining server must have ended by then
-	ColdFrom       float64       // least share of its capacity that a fresh server has
-	WarmAfter      time.Duration // by then it has all of it
-	OverloadFactor float64       // a cold server falls when sent this multiple of its capacity
-	Fall           time.Duration // for this long
-	// Attempts beyond each request's first are rationed: within any BudgetSpan at most SpareAttempts plus
+	Classes           map[string]Class
+	MaxAttempts       int
+	Siblings          int           // balancers that share the servers, this one included; none counts as one
+	SiblingMessaging  bool          // siblings may talk to each other
+	Probes            bool          // servers may be asked for a report; see Host.Ask
+	QuotaConnections  float64       // open connections inside the tenants' shares, over all siblings; 0 where not told
+	Tick              time.Duration // least spacing of events
+	MustWatch         bool          // the list of servers comes only to those who watch it
+	MaxWatchInterval  time.Duration // without a watch, ask at least this often
+	DrainGrace        time.Duration // sends to a draining server must have ended by then
+	ColdCapacityShare float64       // least share of its capacity that a fresh server has
+	WarmAfter         time.Duration // by then it has all of it
+	OverloadFactor    float64       // a cold server falls when sent this multiple of its capacity
+	OverloadSpan      time.Duration // for this long
+	// Attempts beyond each request's first are rationed: within any RetryBudgetSpan at most SpareAttempts plus
 	// AttemptShare of the requests taken in it. Without a span there is no such budget.
-	BudgetSpan    time.Duration
-	SpareAttempts float64
-	AttemptShare  float64
-	// OnlyDrainingBinds: a server that the list calls gone, or leaves out, may still be sent to unless this
+	RetryBudgetSpan  time.Duration
+	RetryBudgetBase  float64
+	RetryBudgetRatio float64
+	// GoneServersUsable: a server that the list calls gone, or leaves out, may still be sent to unless this
 	// instance has seen it draining.
-	OnlyDrainingBinds bool
+	GoneServersUsable bool
 	Zone              string  // where this instance stands
-	Crossing          float64 // price of each request that goes to another zone, as a share of all that is served
+	CrossZoneCost     float64 // price of each request that goes to another zone, as a share of all that is served
 
 	patience   time.Duration // the longest set-up aim of any class
 	messageAim time.Duration // the shortest message aim of any class
@@ -85,8 +85,8 @@
 	State    State
 	Weight   float64       // relative size; the ranking sees equal sizes where no positive one is told
 	Started  time.Duration // when it last started; 0 for long ago
-	// Told is since when its state may count as told to this instance, which may hear of it later; 0 for now.
-	Told time.Duration
+	// NotifiedAt is since when its state may count as told to this instance, which may hear of it later; 0 for now.
+	NotifiedAt time.Duration
 }
 
 // LongAgo is a time before any that matters.
@@ -97,10 +97,10 @@
 
 // The kinds of Members events.
 const (
-	Delta  MembersKind = iota // changed entries only
-	Full                      // the whole list
-	Cached                    // the whole list as last held, perhaps out of date
-	Failed                    // a Watch failed; nothing is told
+	Delta       MembersKind = iota // changed entries only
+	Full                           // the whole list
+	Cached                         // the whole list as last held, perhaps out of date
+	WatchFailed                    // a Watch failed; nothing is told
 )
 
 // Request is a client's request for a connection; the balancer owes it one final answer.
@@ -112,10 +112,10 @@
 	TTL    time.Duration // the client gives up after this
 	// MidFlow marks packets of an open connection that now arrive here.
 	MidFlow bool
-	// Returned marks a client that is back after its connection broke or was moved.
-	Returned bool
-	Tenant   string // whom the client belongs to; it decides nothing here
-	Made     int    // attempts that another instance has made already
+	// Reconnecting marks a client that is back after its connection broke or was moved.
+	Reconnecting  bool
+	Tenant        string // whom the client belongs to; it decides nothing here
+	PriorAttempts int    // attempts that another instance has made already
 }
 
 // Result is how an attempt ended.
@@ -125,21 +125,21 @@
 const (
 	OK Result = iota
 	Error
-	TurnedAway // turned away unseen
+	Rejected // turned away unseen
 	Timeout
 	ConnectFailed
 	Reset
 	Cancelled
-	Moot // never sent
+	NotSent // never sent
 )
 
-// NoteKind says what a note tells.
-type NoteKind int
+// MetricKind says what a note tells.
+type MetricKind int
 
 // The kinds of notes on an open connection.
 const (
-	NoteLoad  NoteKind = 1 // its load now, in microseconds of work a second
-	NoteDelay NoteKind = 2 // milliseconds that a message takes at its server now
+	MetricLoad  MetricKind = 1 // its load now, in microseconds of work a second
+	MetricDelay MetricKind = 2 // milliseconds that a message takes at its server now
 )
 
 // Report is a server's answer to the question how it does.
@@ -154,7 +154,7 @@
 
 // The reasons.
 const (
-	NoTime           Reason = iota // the client's time is over, or too short for another attempt
+	NoTimeLeft       Reason = iota // the client's time is over, or too short for another attempt
 	Overload                       // shed, as the servers are overloaded
 	AttemptsUsed                   // it has had all attempts that it may have
 	NotRepeatable                  // an attempt may have run, and another would double its effect
@@ -164,7 +164,7 @@
 	ListExpired                    // the list of servers may be out of date
 )
 
-var reasons = map[Reason]string{NoTime: "no time left", Overload: "overload", AttemptsUsed: "attempts used", NotRepeatable: "not repeatable",
+var reasons = map[Reason]string{NoTimeLeft: "no time left", Overload: "overload", AttemptsUsed: "attempts used", NotRepeatable: "not repeatable",
 	RetryBudgetSpent: "retry budget spent", NoServer: "no server", CellLimit: "cell limit", ListExpired: "list expired"}
 
 // String is the reason as the log tells it.
@@ -177,10 +177,10 @@
 	Refuse(request string, retryAfter time.Duration, why Reason)
 	Fail(request string)
 	Move(request string)
-	// Tell tells all siblings how long messages take at a server, named by the hash that all rank it by.
-	Tell(server uint32, delay time.Duration)
-	// Ask asks a server for a report; Reported tells of it, or that none came.
-	Ask(server string)
+	// NotifySiblings tells all siblings how long messages take at a server, named by the hash that all rank it by.
+	NotifySiblings(server uint32, delay time.Duration)
+	// Probe asks a server for a report; Reported tells of it, or that none came.
+	Probe(server string)
 	Wake(at time.Duration, name int64)
 	Watch(on bool)
 	Log(text string)
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -10,7 +10,7 @@
 func asking(n int, servers []Server) (out []*sibling) {
 	out = siblings(n, 0, servers)
 	for _, b := range out {
-		b.set.Asks, b.host.actions = true, nil
+		b.set.Probes, b.host.actions = true, nil
 	}
 	return out
 }
@@ -55,15 +55,15 @@
 	if asks := b.host.take("ask"); len(asks) != 2 || asks[0].server != rank[0] || asks[1].server != rank[1] {
 		t.Fatalf("asked %v, want %v", asks, rank[:2])
 	}
-	b.Reported(t0+ms, rank[0], Report{Answered: true, Delay: 80 * ms}) // near its capacity
+	b.ProbeResult(t0+ms, rank[0], Report{Answered: true, Delay: 80 * ms}) // near its capacity
 	b.Wake(t0+2*ms, timerHeld)
 	for _, a := range b.host.actions {
 		if a.name == "send" || a.name == "ask" && a.server != rank[2] {
 			t.Fatalf("%v before the second report, or asked again while a question is out", a)
 		}
 	}
-	b.Reported(t0+3*ms, rank[1], Report{Answered: true})
-	b.Reported(t0+4*ms, rank[2], Report{Answered: true})
+	b.ProbeResult(t0+3*ms, rank[1], Report{Answered: true})
+	b.ProbeResult(t0+4*ms, rank[2], Report{Answered: true})
 	if got := b.host.take("send"); len(got) != 1 || got[0].server != rank[1] && got[0].server != rank[2] {
 		t.Fatalf("sent %v, want one of %v", got, rank[1:3])
 	}
@@ -78,12 +78,12 @@
 	b := asking(80, fleet(10))[0]
 	rank := ids(b.Balancer, 7)
 	b.Request(t0, req("r", 7))
-	b.Reported(t0+200*ms, rank[0], Report{})
+	b.ProbeResult(t0+200*ms, rank[0], Report{})
 	if b.passOver(t0+201*ms, &request{}, b.servers[rank[0]]) != ejected {
 		t.Error("not passed over though it gave no report")
 	}
 	b.host.actions = nil
-	for at := t0 + 201*ms; at < t0+settings().Classes["safe"].Aim; at += 5 * ms {
+	for at := t0 + 201*ms; at < t0+settings().Classes["safe"].SetupTarget; at += 5 * ms {
 		if b.Wake(at, timerHeld); len(b.host.take("send")) == 1 {
 			return
 		}
@@ -109,18 +109,18 @@
 		all, most, sum, stand := siblings(n, 0, fleet(10)), 0, 0, map[string]int{}
 		for i := range clients {
 			b, now, q := all[i*7%n], t0+time.Duration(i)*50*ms, req(fmt.Sprint("r", i), uint64(i%3))
-			b.set.Asks, b.host.actions = asks, nil
+			b.set.Probes, b.host.actions = asks, nil
 			b.Request(now, q)
 			for range 20 { // rounds of questions
 				acts := b.host.actions
 				b.host.actions = nil
 				for _, a := range acts {
 					if late := time.Duration(stand[a.server] / room); a.name == "ask" {
-						b.Reported(now, a.server, Report{Answered: true, Delay: min(late, 1) * 80 * ms})
+						b.ProbeResult(now, a.server, Report{Answered: true, Delay: min(late, 1) * 80 * ms})
 					} else if a.name == "send" {
 						stand[a.server]++
 						most, sum = max(most, stand[a.server]), sum+1
-						b.First(now, q.ID)
+						b.ConnectionEstablished(now, q.ID)
 					}
 				}
 			}
@@ -155,7 +155,7 @@
 	servers[7].Started = t0 - 5*time.Second
 	all := asking(400, servers)
 	for _, b := range all {
-		b.set.Shared = 400
+		b.set.QuotaConnections = 400
 		for _, s := range b.list {
 			if s.heardAt = t0; s.Started == 0 {
 				s.delay, s.delayAt = 80*ms, t0
--- a/policy/budget_test.go
+++ b/policy/budget_test.go
@@ -10,7 +10,7 @@
 func rationed(t *testing.T, spare, share float64) (*Balancer, *fakeHost) {
 	t.Helper()
 	set := settings()
-	set.BudgetSpan, set.SpareAttempts, set.AttemptShare, set.MaxAttempts = 2*time.Second, spare, share, 9
+	set.RetryBudgetSpan, set.RetryBudgetBase, set.RetryBudgetRatio, set.MaxAttempts = 2*time.Second, spare, share, 9
 	return newBalancerWith(t, set, fleet(12))
 }
 
@@ -22,10 +22,10 @@
 	q.TTL = 20 * time.Second
 	b.Request(now, q)
 	h.actions = nil
-	b.Outcome(now, id, TurnedAway, false)
+	b.Outcome(now, id, Rejected, false)
 	again := h.take("send")
 	if len(again) > 0 {
-		b.First(now, id)
+		b.ConnectionEstablished(now, id)
 	}
 	return len(again) > 0
 }
@@ -55,9 +55,9 @@
 func TestSpentBudgetAnswersAtOnce(t *testing.T) {
 	b, h := rationed(t, 1, 0)
 	b.Request(t0, req("r", 3))
-	b.Outcome(t0, "r", TurnedAway, false) // the one spare attempt
+	b.Outcome(t0, "r", Rejected, false) // the one spare attempt
 	h.actions = nil
-	b.Outcome(t0+ms, "r", TurnedAway, false)
+	b.Outcome(t0+ms, "r", Rejected, false)
 	if got := h.take("refuse"); len(got) != 1 {
 		t.Fatalf("%d refusals in the event that ended the last attempt", len(got))
 	}
@@ -94,9 +94,9 @@
 	}
 	b, h = rationed(t, 1, 0)
 	b.Request(t0, req("r", 3))
-	b.Outcome(t0, "r", TurnedAway, false)
+	b.Outcome(t0, "r", Rejected, false)
 	h.actions = nil
-	b.Outcome(t0, "r", Moot, false)
+	b.Outcome(t0, "r", NotSent, false)
 	if len(h.take("send")) != 1 {
 		t.Error("a skipped attempt counts")
 	}
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -62,7 +62,7 @@
 			continue
 		}
 		refused++
-		again := plan(t, next.b, done, Failed)
+		again := plan(t, next.b, done, WatchFailed)
 		place, _ := slices.BinarySearchFunc(calls, again, byTime)
 		calls = slices.Insert(calls, place, again)
 	}
@@ -76,11 +76,11 @@
 func TestListCallsOfSiblingsDoNotJamTheService(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 700, 1024} {
 		service := &listService{each: toldAfter * 3 / 4 / time.Duration(max(n, 45)), limit: 2 * time.Second}
-		if refused, _ := callUntilAnswered(t, siblings(n, 0, fleet(100)), service, Failed); refused > n/20 {
+		if refused, _ := callUntilAnswered(t, siblings(n, 0, fleet(100)), service, WatchFailed); refused > n/20 {
 			t.Errorf("%d siblings after an outage: %d calls refused", n, refused)
 		}
-		for _, kind := range []MembersKind{Cached, Failed} {
-			slow := &listService{each: settings().AskWithin * 4 / 5 / time.Duration(max(n, 80)), limit: 2 * time.Second}
+		for _, kind := range []MembersKind{Cached, WatchFailed} {
+			slow := &listService{each: settings().MaxWatchInterval * 4 / 5 / time.Duration(max(n, 80)), limit: 2 * time.Second}
 			refused, last := callUntilAnswered(t, siblings(n, 0, fleet(100)), slow, kind)
 			least := slow.each * time.Duration(max(n, 80))
 			if last > least+toldAfter*3/4 || refused > n {
@@ -113,7 +113,7 @@
 	for _, n := range []int{3, 24, 30, 80, 300, 700, 1024} {
 		for _, b := range siblings(n, 0, fleet(10)) {
 			for fails := range 8 {
-				wait := plan(t, b, t0, Failed).at - t0
+				wait := plan(t, b, t0, WatchFailed).at - t0
 				if latest := min(time.Duration(max(n, 24))*100*ms, toldAfter-answer); wait > latest {
 					t.Fatalf("%d siblings, failure %d: asks %v after it, later than %v", n, fails+1, wait, latest)
 				}
--- a/policy/changes_test.go
+++ b/policy/changes_test.go
@@ -26,11 +26,11 @@
 func TestLapsedAndLateEventsAreHarmless(t *testing.T) {
 	b, h := newBalancer(t, nil)
 	b.Request(t0, req("r", 1))
-	b.Gone(t0+ms, "r")
-	b.Gone(t0+ms, "r")
+	b.ClientGone(t0+ms, "r")
+	b.ClientGone(t0+ms, "r")
 	b.Outcome(t0+ms, "r", OK, true)
-	b.First(t0+ms, "r")
-	b.Note(t0+ms, "r", NoteDelay, 5)
+	b.ConnectionEstablished(t0+ms, "r")
+	b.ConnectionMetric(t0+ms, "r", MetricDelay, 5)
 	h.actions = nil
 	b.Wake(t0+100*ms, timerHeld)
 	if len(h.actions) != 0 {
@@ -42,7 +42,7 @@
 	b, h := newBalancer(t, fleet(4))
 	top := ids(b, 9)
 	q := req("old", 9)
-	b.Open(t0, q, top[0])
+	b.Inherit(t0, q, top[0])
 	if got := send(t, b, h, t0, req("new", 9)); got != top[1] {
 		t.Errorf("went to %s though the top holds an open connection", got)
 	}
@@ -64,7 +64,7 @@
 				at = w.d
 			}
 		}
-		if limit := settings().AskWithin << min(2*i, 2); at < now || at >= now+limit {
+		if limit := settings().MaxWatchInterval << min(2*i, 2); at < now || at >= now+limit {
 			t.Fatalf("asks at %v, now %v", at, now)
 		}
 		now = at
@@ -72,7 +72,7 @@
 		if got := h.take("watch"); len(got) != 1 {
 			t.Fatal("did not ask")
 		}
-		b.Members(now, Failed, nil)
+		b.Members(now, WatchFailed, nil)
 	}
 	h.actions = nil
 	b.Members(now, Full, fleet(2))
--- a/policy/cost_test.go
+++ b/policy/cost_test.go
@@ -15,7 +15,7 @@
 		now, id := t0+time.Duration(i)*2*time.Millisecond, fmt.Sprint("r", i)
 		h.actions = h.actions[:0]
 		bal.Request(now, req(id, uint64(i*7)))
-		bal.First(now, id)
+		bal.ConnectionEstablished(now, id)
 		if i >= standing {
 			bal.Outcome(now, fmt.Sprint("r", i-standing), OK, true)
 		} else if i == standing-1 {
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -16,18 +16,18 @@
 func (printer) Refuse(request string, _ time.Duration, _ policy.Reason) {
 	fmt.Println("refuse", request)
 }
-func (printer) Fail(request string)        { fmt.Println("fail", request) }
-func (printer) Move(request string)        { fmt.Println("move", request) }
-func (printer) Wake(time.Duration, int64)  {}
-func (printer) Tell(uint32, time.Duration) {}
-func (printer) Ask(string)                 {}
-func (printer) Watch(bool)                 {}
-func (printer) Log(string)                 {}
+func (printer) Fail(request string)                  { fmt.Println("fail", request) }
+func (printer) Move(request string)                  { fmt.Println("move", request) }
+func (printer) Wake(time.Duration, int64)            {}
+func (printer) NotifySiblings(uint32, time.Duration) {}
+func (printer) Probe(string)                         {}
+func (printer) Watch(bool)                           {}
+func (printer) Log(string)                           {}
 
 func Example() {
 	b := policy.New(policy.Settings{
 		MaxAttempts: 3, Tick: time.Millisecond,
-		Classes: map[string]policy.Class{"stream": {Aim: 500 * time.Millisecond}},
+		Classes: map[string]policy.Class{"stream": {SetupTarget: 500 * time.Millisecond}},
 	}, 1, printer{})
 	now := 10 * time.Second // any monotonic clock
 	b.Members(now, policy.Full, []policy.Server{
--- a/policy/fake_test.go
+++ b/policy/fake_test.go
@@ -30,9 +30,9 @@
 }
 func (h *fakeHost) Fail(r string)                  { h.add(action{name: "fail", request: r}) }
 func (h *fakeHost) Move(r string)                  { h.add(action{name: "move", request: r}) }
-func (h *fakeHost) Ask(s string)                   { h.add(action{name: "ask", server: s}) }
+func (h *fakeHost) Probe(s string)                 { h.add(action{name: "ask", server: s}) }
 func (h *fakeHost) Wake(at time.Duration, n int64) { h.add(action{name: "wake", d: at, timer: n}) }
-func (h *fakeHost) Tell(server uint32, d time.Duration) {
+func (h *fakeHost) NotifySiblings(server uint32, d time.Duration) {
 	h.add(action{name: "tell", timer: int64(server), d: d})
 }
 func (h *fakeHost) Watch(bool)      { h.add(action{name: "watch"}) }
@@ -51,14 +51,14 @@
 
 func settings() Settings {
 	return Settings{
-		MaxAttempts: 4, Tick: 5 * ms, MustAsk: true, AskWithin: 10 * time.Second,
-		DrainGrace: 250 * ms, ColdFrom: 0.2, WarmAfter: 20 * time.Second, OverloadFactor: 3,
-		Fall: 1500 * ms,
+		MaxAttempts: 4, Tick: 5 * ms, MustWatch: true, MaxWatchInterval: 10 * time.Second,
+		DrainGrace: 250 * ms, ColdCapacityShare: 0.2, WarmAfter: 20 * time.Second, OverloadFactor: 3,
+		OverloadSpan: 1500 * ms,
 		Classes: map[string]Class{
-			"safe":     {Aim: 500 * ms, MessageAim: 100 * ms},
-			"keyed":    {Aim: 500 * ms, MessageAim: 100 * ms, Effect: Keyed, Scope: ScopeCell, Window: time.Second},
-			"keyedall": {Aim: 500 * ms, MessageAim: 100 * ms, Effect: Keyed, Window: time.Second},
-			"unsafe":   {Aim: 500 * ms, MessageAim: 100 * ms, Effect: Unsafe},
+			"safe":     {SetupTarget: 500 * ms, MessageTarget: 100 * ms},
+			"keyed":    {SetupTarget: 500 * ms, MessageTarget: 100 * ms, Effect: Keyed, DedupScope: ScopeCell, DedupWindow: time.Second},
+			"keyedall": {SetupTarget: 500 * ms, MessageTarget: 100 * ms, Effect: Keyed, DedupWindow: time.Second},
+			"unsafe":   {SetupTarget: 500 * ms, MessageTarget: 100 * ms, Effect: Unsafe},
 		},
 	}
 }
@@ -96,7 +96,7 @@
 	for out := h.take("send"); len(out) > 0; out = h.take("send") {
 		tried = append(tried, out[0].server)
 		if !fails(out[0].server) {
-			b.First(now, q.ID)
+			b.ConnectionEstablished(now, q.ID)
 			break
 		}
 		b.Outcome(now, q.ID, ConnectFailed, false)
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -32,7 +32,7 @@
 	f.all = siblings(n, standing, f.servers)
 	sum := 0.0
 	for i, b := range f.all {
-		b.rng, b.set.Shared, b.set.Asks = rand.New(rand.NewPCG(seed, uint64(i))), float64(standing), true
+		b.rng, b.set.QuotaConnections, b.set.Probes = rand.New(rand.NewPCG(seed, uint64(i))), float64(standing), true
 		sum += 1 / math.Sqrt(float64(i+1)) // some get many times what others do
 		f.parts = append(f.parts, sum)
 	}
@@ -44,7 +44,7 @@
 	anew := siblings(len(f.all), 0, f.servers)
 	for i := from; i < len(f.all); i += 3 {
 		b := anew[i]
-		b.rng, b.set.Shared, b.set.Asks = f.all[i].rng, f.all[i].set.Shared, true
+		b.rng, b.set.QuotaConnections, b.set.Probes = f.all[i].rng, f.all[i].set.QuotaConnections, true
 		b.Members(now, Cached, f.servers)
 		f.all[i] = b
 	}
@@ -56,7 +56,7 @@
 	b := f.all[i]
 	f.serial++
 	q := req(fmt.Sprint("r", f.serial), f.keys+f.rng.Uint64N(uint64(len(f.servers)*2)))
-	q.Returned, b.host.actions = returned, nil
+	q.Reconnecting, b.host.actions = returned, nil
 	b.Request(now, q)
 	for at := now; ; {
 		acts := b.host.actions
@@ -69,12 +69,12 @@
 					f.sent = append(f.sent, now)
 				}
 				f.open[a.server]++
-				b.First(now, a.request)
+				b.ConnectionEstablished(now, a.request)
 				return
 			case "refuse", "fail":
 				return
 			case "ask":
-				b.Reported(at, a.server, Report{Answered: true, Load: float64(f.open[a.server]) / fullest})
+				b.ProbeResult(at, a.server, Report{Answered: true, Load: float64(f.open[a.server]) / fullest})
 			case "wake":
 				wake = a.d
 			}
@@ -100,11 +100,11 @@
 			f.cold = f.servers[c.hosts/2].ID
 			start := t0 + 5*time.Second
 			rate := float64(c.hosts) * fullest / 2 / lives.Seconds()
-			restarts := start + set.Fall/2
+			restarts := start + set.OverloadSpan/2
 			for now := t0; now < start+set.WarmAfter; {
-				if seed >= 12 && now >= restarts && now < start+4*set.Fall {
-					f.restart(int(restarts/(set.Fall/2))%3, now)
-					restarts += set.Fall / 2
+				if seed >= 12 && now >= restarts && now < start+4*set.OverloadSpan {
+					f.restart(int(restarts/(set.OverloadSpan/2))%3, now)
+					restarts += set.OverloadSpan / 2
 				}
 				back := now > start+5*time.Second && now < start+7*time.Second
 				if now += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second)); now >= start && f.servers[c.hosts/2].Started == 0 {
@@ -124,12 +124,12 @@
 			for i, from := range f.sent {
 				n := 0
 				for _, at := range f.sent[i:] {
-					if at < from+set.Fall {
+					if at < from+set.OverloadSpan {
 						n++
 					}
 				}
-				warmth := set.ColdFrom + (1-set.ColdFrom)*(from-start).Seconds()/set.WarmAfter.Seconds()
-				may := set.OverloadFactor * fullest * warmth * set.Fall.Seconds() / lives.Seconds()
+				warmth := set.ColdCapacityShare + (1-set.ColdCapacityShare)*(from-start).Seconds()/set.WarmAfter.Seconds()
+				may := set.OverloadFactor * fullest * warmth * set.OverloadSpan.Seconds() / lives.Seconds()
 				if windows++; float64(n) > may+2*math.Sqrt(may)+2 {
 					t.Errorf("%d balancers, seed %d, %v after its start: %d sent, N is %.1f", c.balancers, seed, from-start, n, may)
 				}
--- a/policy/gate_test.go
+++ b/policy/gate_test.go
@@ -29,11 +29,11 @@
 			q := req("r", 3)
 			q.MidFlow = midFlow
 			at := placedAt(t, b, h, q, servers)
-			if !b.Allows(t0, "r") {
+			if !b.MayWrite(t0, "r") {
 				t.Fatalf("%s: not allowed before the list changes", name)
 			}
 			tell(b, at)
-			if b.Allows(t0+3*ms, "r") {
+			if b.MayWrite(t0+3*ms, "r") {
 				t.Errorf("%s, mid-flow %v: allowed", name, midFlow)
 			}
 		}
@@ -50,7 +50,7 @@
 			b.Members(t0+ms, Delta, called(Draining, []Server{at}))
 		}
 		b.Members(t0+2*ms, Delta, called(Gone, []Server{at}))
-		if allowed := b.Allows(t0+3*ms, "r"); allowed == drains {
+		if allowed := b.MayWrite(t0+3*ms, "r"); allowed == drains {
 			t.Errorf("drains %v: allowed %v", drains, allowed)
 		}
 	}
@@ -75,7 +75,7 @@
 		top := ids(b, 3)[0]
 		for i := range servers {
 			if servers[i].ID == top {
-				servers[i].State, servers[i].Told = Draining, c.told
+				servers[i].State, servers[i].NotifiedAt = Draining, c.told
 			}
 		}
 		b.Members(heard, c.kind, servers)
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -51,7 +51,7 @@
 	if len(h.take("send")) != 1 {
 		t.Fatal("not sent under a lease")
 	}
-	if !b.Allows(t0+999*ms, "a") || b.Allows(t0+1000*ms, "a") {
+	if !b.MayWrite(t0+999*ms, "a") || b.MayWrite(t0+1000*ms, "a") {
 		t.Error("the attempt may be written up to the end of the lease, and not after it")
 	}
 	b.Request(t0+time.Second, Request{ID: "b", Class: "safe", TTL: 4 * time.Second})
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -84,9 +84,9 @@
 		for i := 0; b.Loop(); i++ {
 			id := "r" + string(rune('a'+i%26))
 			bal.Request(t0, req(id, uint64(i)))
-			bal.First(t0, id)
+			bal.ConnectionEstablished(t0, id)
 			bal.Outcome(t0, id, OK, true)
-			bal.Gone(t0, id)
+			bal.ClientGone(t0, id)
 			bal.held, h.actions = bal.held[:0], h.actions[:0]
 		}
 	})
--- a/policy/list.go
+++ b/policy/list.go
@@ -11,13 +11,13 @@
 // Members tells what is new of the list of servers. A full list that leaves a server out has removed it.
 func (b *Balancer) Members(now time.Duration, kind MembersKind, entries []Server) {
 	b.watched(now, kind)
-	if kind == Failed {
+	if kind == WatchFailed {
 		return
 	}
 	b.lists++
 	for _, e := range entries {
 		if kind == Cached {
-			e.Told = LongAgo
+			e.NotifiedAt = LongAgo
 		}
 		b.learn(now, e)
 	}
@@ -58,15 +58,15 @@
 
 // drainTold is since when an entry that drains may count as told.
 func (s Server) drainTold(now time.Duration) time.Duration {
-	if s.Told > 0 {
-		return min(s.Told, now)
+	if s.NotifiedAt > 0 {
+		return min(s.NotifiedAt, now)
 	}
 	return now
 }
 
 // bind: seen draining, a server drains till a younger process of it is ready, whatever older lists say.
 func (b *Balancer) bind(s *server, e *Server) {
-	if !b.set.OnlyDrainingBinds {
+	if !b.set.GoneServersUsable {
 		return
 	}
 	if e.State == Draining {
@@ -82,23 +82,23 @@
 func (b *Balancer) forget(now time.Duration) { // who is gone: at once where that binds
 	keep := remembered >> (len(b.servers) / rememberedMost)
 	maps.DeleteFunc(b.servers, func(_ string, s *server) bool {
-		return s.State == Gone && len(s.conns) == 0 && (!b.set.OnlyDrainingBinds || now-s.lost > keep)
+		return s.State == Gone && len(s.conns) == 0 && (!b.set.GoneServersUsable || now-s.lost > keep)
 	})
 	before := len(b.list)
 	b.list = slices.DeleteFunc(b.list, func(s *server) bool {
-		return s.State == Gone && (!b.set.OnlyDrainingBinds || s.bound || b.servers[s.ID] != s)
+		return s.State == Gone && (!b.set.GoneServersUsable || s.bound || b.servers[s.ID] != s)
 	})
 	b.changed = b.changed || len(b.list) != before
 }
 
-// Drop takes a server off the list, as another instance serves it from now on; what stands there goes on.
-func (b *Balancer) Drop(id string) {
+// RemoveServer takes a server off the list, as another instance serves it from now on; what stands there goes on.
+func (b *Balancer) RemoveServer(id string) {
 	b.server(id).State, b.changed = Gone, true
 	b.list = slices.DeleteFunc(b.list, func(s *server) bool { return s.ID == id })
 }
 
-// Join takes a server that another instance served until now, and may just have spent its cold budget.
-func (b *Balancer) Join(now time.Duration, e Server) {
+// AddServer takes a server that another instance served until now, and may just have spent its cold budget.
+func (b *Balancer) AddServer(now time.Duration, e Server) {
 	b.learn(now, e)
 	s := b.server(e.ID)
 	s.slowStartLeft, s.slowStartAt, s.slowStartLuck = 0, now, 1
@@ -110,17 +110,17 @@
 // watched keeps the subscription. Danger: the list held at the start may hide what is about to count as told:
 // the first call is soon. Calls that all siblings make at once fail at once: the next ones wait at random.
 func (b *Balancer) watched(now time.Duration, kind MembersKind) {
-	if b.asking = b.set.MustAsk && (kind == Failed || kind == Cached); !b.asking {
+	if b.asking = b.set.MustWatch && (kind == WatchFailed || kind == Cached); !b.asking {
 		b.askFails = 0
 		return
 	}
-	gap := b.set.AskWithin / 100 * time.Duration(b.set.Siblings) // sooner, many jam it
+	gap := b.set.MaxWatchInterval / 100 * time.Duration(b.set.Siblings) // sooner, many jam it
 	least, span := time.Duration(0), min(firstCalls*time.Duration(b.set.Siblings), toldAfter/20)
-	if kind == Failed {
+	if kind == WatchFailed {
 		b.askFails++
 		b.logf("list of servers: call %d in a row failed", b.askFails)
 		most := min(toldAfter*2/5, max(callsOfFew*time.Duration(b.set.Siblings), toldAfter/10))
-		span = min(gap<<min(b.askFails, 5), max(most, min(gap, toldAfter*3/4)), b.set.AskWithin*7/10)
+		span = min(gap<<min(b.askFails, 5), max(most, min(gap, toldAfter*3/4)), b.set.MaxWatchInterval*7/10)
 		least = span / 2 * time.Duration(min(b.askFails-1, 1)) // on the mean no sooner than from 0 to 7 s
 	}
 	b.host.Wake(now+least+time.Duration(b.rng.Int64N(int64(span-least)+1)), timerAsk)
@@ -131,8 +131,8 @@
 
 const toldAfter = 6 * time.Second // by then what discovery has counts as told, whatever calls failed
 
-// Listed is how many servers the list names, and how many of them are avoided now.
-func (b *Balancer) Listed(now time.Duration) (listed, avoided int) {
+// ServerCounts is how many servers the list names, and how many of them are avoided now.
+func (b *Balancer) ServerCounts(now time.Duration) (listed, avoided int) {
 	for _, s := range b.list {
 		if s.State == Gone {
 			continue
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -11,7 +11,7 @@
 func unbinding(t *testing.T, servers []Server) (*Balancer, *fakeHost) {
 	t.Helper()
 	set := settings()
-	set.OnlyDrainingBinds = true
+	set.GoneServersUsable = true
 	return newBalancerWith(t, set, servers)
 }
 
@@ -22,7 +22,7 @@
 	for i := range 60 {
 		id := fmt.Sprint("land", i)
 		seen[send(t, b, h, now, req(id, uint64(i)*7919))] = true
-		b.First(now, id)
+		b.ConnectionEstablished(now, id)
 		b.Outcome(now, id, OK, true)
 	}
 	return seen
@@ -72,7 +72,7 @@
 		t.Error("sent to the one server that is called gone")
 	}
 	b, h = unbinding(t, servers)
-	b.Open(t0, req("open", 1), gone[0].ID)
+	b.Inherit(t0, req("open", 1), gone[0].ID)
 	b.Members(t0+ms, Delta, gone)
 	landings(t, b, h, t0+ms)
 	if why := b.passOver(t0+ms, &request{}, b.servers[gone[0].ID]); why != eligible {
@@ -206,9 +206,9 @@
 // Absurd settings break nothing and hold nobody for ever.
 func TestAbsurdSettings(t *testing.T) {
 	for name, set := range map[string]Settings{
-		"none": {}, "negative": {MaxAttempts: -1, Siblings: -5, Tick: -1, AskWithin: -time.Second, Fall: -1, WarmAfter: -1,
-			ColdFrom: -2, OverloadFactor: -1, BudgetSpan: -1, SpareAttempts: -3, AttemptShare: -1, DrainGrace: -1},
-		"budget of nothing": {MaxAttempts: 3, BudgetSpan: time.Second},
+		"none": {}, "negative": {MaxAttempts: -1, Siblings: -5, Tick: -1, MaxWatchInterval: -time.Second, OverloadSpan: -1, WarmAfter: -1,
+			ColdCapacityShare: -2, OverloadFactor: -1, RetryBudgetSpan: -1, RetryBudgetBase: -3, RetryBudgetRatio: -1, DrainGrace: -1},
+		"budget of nothing": {MaxAttempts: 3, RetryBudgetSpan: time.Second},
 	} {
 		h := &fakeHost{}
 		b := New(set, 1, h)
@@ -239,7 +239,7 @@
 	servers[0].State, servers[1].State = Draining, Gone
 	b.Members(t0+ms, Delta, servers[:2])
 	b.eject(t0+ms, b.server(servers[2].ID))
-	if listed, avoided := b.Listed(t0 + 2*ms); listed != 4 || avoided != 2 {
+	if listed, avoided := b.ServerCounts(t0 + 2*ms); listed != 4 || avoided != 2 {
 		t.Errorf("listed %d, avoided %d", listed, avoided)
 	}
 }
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -72,7 +72,7 @@
 				if x := queue[0]; !x.over {
 					x.over = true
 					stand++
-					x.b.First(now, x.id)
+					x.b.ConnectionEstablished(now, x.id)
 				}
 				queue = queue[1:]
 			}
@@ -99,10 +99,10 @@
 		want int        // which of them, always; -1 for either
 	}{{80, [2]float64{0.3, 0.1}, 1}, {80, [2]float64{0.1, 0.3}, 0}, {3, [2]float64{0.3, 0.1}, 0}} {
 		for i, b := range asking(c.n, servers)[:3] {
-			b.set.Zone, b.set.Crossing = "here", 0
+			b.set.Zone, b.set.CrossZoneCost = "here", 0
 			key := uint64(100 + i)
 			for j, id := range ids(b.Balancer, key) {
-				b.Reported(t0, id, Report{Answered: true, Load: c.load[min(j, 1)]})
+				b.ProbeResult(t0, id, Report{Answered: true, Load: c.load[min(j, 1)]})
 			}
 			b.rng = rand.New(rand.NewPCG(uint64(i), 7))
 			q := req("r", key)
@@ -116,9 +116,9 @@
 	}
 	sent := map[string]int{}
 	for i, b := range asking(80, servers)[:60] {
-		b.set.Zone, b.set.Crossing, b.seen = "here", 0.1, 400
+		b.set.Zone, b.set.CrossZoneCost, b.seen = "here", 0.1, 400
 		for _, id := range ids(b.Balancer, uint64(i)) {
-			b.Reported(t0, id, Report{Answered: true})
+			b.ProbeResult(t0, id, Report{Answered: true})
 		}
 		top := ids(b.Balancer, uint64(i))[:2]
 		b.Request(t0, req("r", uint64(i)))
@@ -154,7 +154,7 @@
 		b = siblings(c.n, 0, fleet(90))[0]
 		b.Request(t0, req("last", 9))
 		b.failed = 3
-		b.First(t0, "last")
+		b.ConnectionEstablished(t0, "last")
 		if b.failed != c.left {
 			t.Errorf("%d balancers: %d failures left, want %d", c.n, b.failed, c.left)
 		}
--- a/policy/massclient_test.go
+++ b/policy/massclient_test.go
@@ -76,7 +76,7 @@
 func (f *massRun) request(c *massClient) Request {
 	f.serial++
 	c.id, c.node = fmt.Sprint("r", f.serial), f.deal(c.zone)
-	return Request{ID: c.id, Class: c.name, Key: c.group, HasKey: true, TTL: c.wait, Returned: c.returned}
+	return Request{ID: c.id, Class: c.name, Key: c.group, HasKey: true, TTL: c.wait, Reconnecting: c.returned}
 }
 
 // come has a client ask a balancer for a connection.
@@ -157,7 +157,7 @@
 		q := f.request(c)
 		h := f.roomiest(c, bound)
 		f.stand(c, c.node, h)
-		c.node.module.Open(f.now, q, h.ID)
+		c.node.module.Inherit(f.now, q, h.ID)
 	}
 }
 
--- a/policy/masshost_test.go
+++ b/policy/masshost_test.go
@@ -85,8 +85,8 @@
 	if h.Started == 0 || age >= set.WarmAfter {
 		return 0
 	}
-	h.sent = slices.DeleteFunc(append(h.sent, now), func(at time.Duration) bool { return at <= now-set.Fall })
-	warmth := set.ColdFrom + (1-set.ColdFrom)*float64(age)/float64(set.WarmAfter)
-	may := set.OverloadFactor * h.capacity * warmth * float64(set.Fall) / float64(lasts)
+	h.sent = slices.DeleteFunc(append(h.sent, now), func(at time.Duration) bool { return at <= now-set.OverloadSpan })
+	warmth := set.ColdCapacityShare + (1-set.ColdCapacityShare)*float64(age)/float64(set.WarmAfter)
+	may := set.OverloadFactor * h.capacity * warmth * float64(set.OverloadSpan) / float64(lasts)
 	return float64(len(h.sent)) / (may + 2*math.Sqrt(may) + 2)
 }
--- a/policy/massnode_test.go
+++ b/policy/massnode_test.go
@@ -82,7 +82,7 @@
 	for _, id := range slices.Sorted(maps.Keys(n.known)) {
 		r, h := n.known[id], n.run.hosts[id]
 		if r.open > 0 && now-r.askedAt >= r.every() {
-			n.Ask(id)
+			n.Probe(id)
 		}
 		took := r.expected(now)
 		if r.open > 0 && !h.down {
@@ -90,7 +90,7 @@
 		}
 		if took > third && now-r.slowAt >= time.Second {
 			r.slowAt = now
-			n.module.Delay(now, id, took)
+			n.module.ServerDelay(now, id, took)
 		}
 	}
 }
@@ -106,22 +106,22 @@
 	r.load, r.at, r.backlog = max(r.load, 1), now, max(r.backlog, shedsAt)
 	if now-r.slowAt >= time.Second {
 		r.slowAt = now
-		n.module.Delay(now, server, r.expected(now))
+		n.module.ServerDelay(now, server, r.expected(now))
 	}
 }
 
-// Ask has a host asked for its report, which tells how it was some time ago.
-func (n *massNode) Ask(server string) {
+// Probe has a host asked for its report, which tells how it was some time ago.
+func (n *massNode) Probe(server string) {
 	h, r := n.run.hosts[server], n.of(server)
 	r.askedAt = n.run.now
 	if h.down {
-		n.run.after(probeLimit, func() { n.module.Reported(n.run.now, server, Report{}) })
+		n.run.after(probeLimit, func() { n.module.ProbeResult(n.run.now, server, Report{}) })
 		return
 	}
 	n.run.after(2*n.away(h), func() {
 		now := n.run.now
 		r.learn(now, h.shown)
-		n.module.Reported(now, server, Report{Answered: true, Load: r.load, Delay: r.expected(now)})
+		n.module.ProbeResult(now, server, Report{Answered: true, Load: r.load, Delay: r.expected(now)})
 	})
 }
 
@@ -159,7 +159,7 @@
 	case h.down:
 		end(n.away(h), ConnectFailed)
 	case h.draining, h.full():
-		end(2*n.away(h), TurnedAway)
+		end(2*n.away(h), Rejected)
 	case takes >= timeout:
 		end(timeout, Timeout)
 	default:
@@ -171,11 +171,11 @@
 func (n *massNode) up(c *massClient, h *massHost, request string) {
 	c.out = false
 	if h.draining || h.down {
-		n.module.Outcome(n.run.now, request, TurnedAway, false)
+		n.module.Outcome(n.run.now, request, Rejected, false)
 		return
 	}
 	n.run.stand(c, n, h)
-	n.module.First(n.run.now, request)
+	n.module.ConnectionEstablished(n.run.now, request)
 }
 
 // answered takes the client off the list of those who wait.
@@ -213,6 +213,6 @@
 	}
 }
 
-func (n *massNode) Tell(uint32, time.Duration) {}
-func (n *massNode) Watch(bool)                 {}
-func (n *massNode) Log(string)                 {}
+func (n *massNode) NotifySiblings(uint32, time.Duration) {}
+func (n *massNode) Watch(bool)                           {}
+func (n *massNode) Log(string)                           {}
--- a/policy/massplan_test.go
+++ b/policy/massplan_test.go
@@ -78,15 +78,15 @@
 // settings are what the balancer of a zone is told: of the kinds the coldest start and the longest way to warm.
 func (p massPlan) settings(zone string) Settings {
 	set := settings()
-	set.MaxAttempts, set.Siblings, set.Asks, set.Tick = 5, p.balancers, true, 4*ms
-	set.DrainGrace, set.OverloadFactor, set.Fall = 500*ms, 4, time.Second
-	set.ColdFrom, set.WarmAfter = 1, 0
+	set.MaxAttempts, set.Siblings, set.Probes, set.Tick = 5, p.balancers, true, 4*ms
+	set.DrainGrace, set.OverloadFactor, set.OverloadSpan = 500*ms, 4, time.Second
+	set.ColdCapacityShare, set.WarmAfter = 1, 0
 	for _, k := range p.kinds {
-		set.ColdFrom, set.WarmAfter = min(set.ColdFrom, k.coldFrom), max(set.WarmAfter, k.warmAfter)
+		set.ColdCapacityShare, set.WarmAfter = min(set.ColdCapacityShare, k.coldFrom), max(set.WarmAfter, k.warmAfter)
 	}
-	set.Zone, set.Crossing, set.Classes = zone, 0.1, map[string]Class{}
+	set.Zone, set.CrossZoneCost, set.Classes = zone, 0.1, map[string]Class{}
 	for _, c := range p.classes {
-		set.Classes[c.name] = Class{Aim: c.aim, MessageAim: c.messageAim}
+		set.Classes[c.name] = Class{SetupTarget: c.aim, MessageTarget: c.messageAim}
 	}
 	return set
 }
--- a/policy/midflow_test.go
+++ b/policy/midflow_test.go
@@ -37,7 +37,7 @@
 func TestMidFlowGoesToItsHolderThoughCrowded(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
 	s := crowd(t, b, h, 3, 12)
-	b.Note(t0, "c0", NoteDelay, 90)
+	b.ConnectionMetric(t0, "c0", MetricDelay, 90)
 	b.eject(t0, s)
 	mid := req("mid", 3)
 	mid.MidFlow = true
@@ -85,7 +85,7 @@
 		q.MidFlow = true
 		return send(t, b, h, now, q)
 	}
-	b.Delay(t0, ranked[0], 80*ms)
+	b.ServerDelay(t0, ranked[0], 80*ms)
 	if got := mid("a", t0); got != ranked[1] {
 		t.Errorf("%s got it, not the next after the slow one", got)
 	}
@@ -93,8 +93,8 @@
 	if got := mid("b", later); got != ranked[0] {
 		t.Errorf("%s got it, not the top", got)
 	}
-	b.Open(later, req("c", 7), ranked[2])
-	b.Open(later, req("other", 8), ranked[3])
+	b.Inherit(later, req("c", 7), ranked[2])
+	b.Inherit(later, req("other", 8), ranked[3])
 	if got := mid("d", later); got != ranked[2] {
 		t.Errorf("%s got it, not the one that holds one of the key", got)
 	}
@@ -119,7 +119,7 @@
 	}
 	b, h = newBalancer(t, fleet(5))
 	for i, at := range []int{2, 2, 2, 2, 3, 3} {
-		b.Open(t0, req(fmt.Sprint("own", i), 7), ranked[at])
+		b.Inherit(t0, req(fmt.Sprint("own", i), 7), ranked[at])
 	}
 	if got := burst(b, h, 6); got[ranked[2]] < 3 || got[ranked[3]] < 2 || len(got) != 2 {
 		t.Errorf("with four at one and two at the other: %v of %v", got, ranked)
--- a/policy/outlier.go
+++ b/policy/outlier.go
@@ -72,7 +72,7 @@
 	if now < s.until {
 		return
 	}
-	span := max(b.set.patience, b.set.Fall) << min(s.ejections, doublings)
+	span := max(b.set.patience, b.set.OverloadSpan) << min(s.ejections, doublings)
 	s.until = now + time.Duration((0.75+b.rng.Float64()/2)*float64(span))
 	if s.ejections++; s.State == Gone { // two witnesses
 		s.ejections++
@@ -88,15 +88,15 @@
 	return s.delay > b.set.messageAim/3 && now-s.delayAt < 3*noteEvery
 }
 
-func (b *Balancer) Note(now time.Duration, id string, kind NoteKind, level float64) { // of what is open
-	if r := b.out(id); r != nil && kind == NoteDelay {
-		b.Delay(now, r.at.ID, time.Duration(level*float64(time.Millisecond)))
+func (b *Balancer) ConnectionMetric(now time.Duration, id string, kind MetricKind, level float64) { // of what is open
+	if r := b.out(id); r != nil && kind == MetricDelay {
+		b.ServerDelay(now, r.at.ID, time.Duration(level*float64(time.Millisecond)))
 	}
 }
 
-// Delay tells how long a message takes now at a server, and cuts what a crowded one holds of ours. Its growth
+// ServerDelay tells how long a message takes now at a server, and cuts what a crowded one holds of ours. Its growth
 // is excess load; both must go by the next note. Danger: over a half, cut by all siblings, is a storm.
-func (b *Balancer) Delay(now time.Duration, server string, delay time.Duration) {
+func (b *Balancer) ServerDelay(now time.Duration, server string, delay time.Duration) {
 	s, growth := b.server(server), 0.0
 	if b.slow(now, s) {
 		growth = (delay - s.delay).Seconds() / max(now-s.delayAt, noteEvery).Seconds()
@@ -108,8 +108,8 @@
 	}
 	b.eject(now, s)
 	// Danger: who is moved reaches siblings that know nothing of it. Of the holders about one tells all.
-	if holders := float64(b.set.Siblings) * b.usual(now); b.set.Peers && b.rng.Float64()*holders < 1 {
-		b.host.Tell(s.hash, delay)
+	if holders := float64(b.set.Siblings) * b.usual(now); b.set.SiblingMessaging && b.rng.Float64()*holders < 1 {
+		b.host.NotifySiblings(s.hash, delay)
 	}
 	moves := int(float64(len(s.conns))*min(excess/max(1+growth, excess), 0.5) + b.rng.Float64())
 	for _, r := range s.conns {
@@ -120,7 +120,7 @@
 	}
 }
 
-func (b *Balancer) Heard(now time.Duration, hash uint32, delay time.Duration) { // what a sibling tells
+func (b *Balancer) SiblingDelay(now time.Duration, hash uint32, delay time.Duration) { // what a sibling tells
 	if i := slices.IndexFunc(b.list, func(s *server) bool { return s.hash == hash }); i >= 0 {
 		b.list[i].delay, b.list[i].delayAt = delay, now
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -15,19 +15,19 @@
 	if got := h.take("send"); len(got) != 1 || got[0].server == top[0] || got[0].d > time.Second {
 		t.Fatalf("after the time-out: %v", got)
 	}
-	b.First(now, "r")
+	b.ConnectionEstablished(now, "r")
 	s := b.servers[top[0]]
 	if b.passOver(now, &request{}, s) != ejected {
 		t.Fatal("not suspect after a set-up without an answer")
 	}
-	if now = s.until; now < t0+time.Second+settings().Classes["safe"].Aim/2 {
+	if now = s.until; now < t0+time.Second+settings().Classes["safe"].SetupTarget/2 {
 		t.Errorf("passed over for only %v", now-t0-time.Second)
 	}
 	if got := send(t, b, h, now, req("test", 3)); got != top[0] {
 		t.Fatalf("after the doubt a connection went to %s", got)
 	}
 	b.eject(now, s)
-	b.First(now+ms, "test")
+	b.ConnectionEstablished(now+ms, "test")
 	if b.passOver(now+ms, &request{}, s) != eligible {
 		t.Error("still passed over after one stood")
 	}
@@ -88,7 +88,7 @@
 	b, h := newBalancer(t, fleet(5))
 	for i, s := range b.list {
 		if i < 3 {
-			b.Heard(t0, s.hash, 300*ms)
+			b.SiblingDelay(t0, s.hash, 300*ms)
 		} else {
 			s.State = Draining
 		}
@@ -123,7 +123,7 @@
 	for i := range 2000 { // the store recovers
 		now += 10 * ms
 		for _, a := range out {
-			b.First(now, a.request)
+			b.ConnectionEstablished(now, a.request)
 		}
 		b.Request(now, req(fmt.Sprint("s", i), uint64(i)*31))
 		b.Wake(now, timerHeld)
@@ -141,7 +141,7 @@
 	for i := range n {
 		id := fmt.Sprint("c", i)
 		send(t, b, h, t0, req(id, key))
-		b.First(t0, id)
+		b.ConnectionEstablished(t0, id)
 	}
 	return b.servers[ids(b, key)[0]]
 }
@@ -149,11 +149,11 @@
 func TestCrowdedServerIsPassedOverAndRelieved(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
 	s := crowd(t, b, h, 3, 20)
-	b.Note(t0, "c2", NoteLoad, 9000) // of no use here
+	b.ConnectionMetric(t0, "c2", MetricLoad, 9000) // of no use here
 	if len(h.take("move")) != 0 {
 		t.Fatal("moved for a note of load")
 	}
-	b.Note(t0+ms, "c0", NoteDelay, 400)
+	b.ConnectionMetric(t0+ms, "c0", MetricDelay, 400)
 	moves := h.take("move")
 	if len(moves) == 0 || len(moves) > 5 {
 		t.Fatalf("moves: %v, want a few", moves)
@@ -161,7 +161,7 @@
 	if got := send(t, b, h, t0+2*ms, req("new", 3)); got == s.ID {
 		t.Error("a crowded server got a new connection")
 	}
-	b.Note(t0+time.Second, "c0", NoteDelay, 20)
+	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 20)
 	if now := s.until; now > t0+2*time.Second || b.passOver(now, &request{}, s) != eligible {
 		t.Error("passed over though it is back under and the doubt has passed")
 	}
@@ -170,9 +170,9 @@
 func TestDrainingBacklogIsNotCutFurther(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
 	crowd(t, b, h, 3, 20)
-	b.Note(t0, "c0", NoteDelay, 900)
+	b.ConnectionMetric(t0, "c0", MetricDelay, 900)
 	h.actions = nil
-	b.Note(t0+time.Second, "c0", NoteDelay, 400)
+	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 400)
 	if moves := h.take("move"); len(moves) > 0 {
 		t.Errorf("%d moves though the backlog drains", len(moves))
 	}
@@ -181,8 +181,8 @@
 func TestDelayThatGrowsASecondASecondIsSilence(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
 	s := crowd(t, b, h, 3, 8)
-	b.Note(t0, "c0", NoteDelay, 3000)
-	b.Note(t0+time.Second, "c0", NoteDelay, 4000)
+	b.ConnectionMetric(t0, "c0", MetricDelay, 3000)
+	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 4000)
 	if s.until <= t0+time.Second {
 		t.Error("a server that does nothing is not suspect")
 	}
@@ -192,7 +192,7 @@
 func TestResetOfAStandingConnectionIsNoDoubt(t *testing.T) {
 	b, h := newBalancer(t, fleet(4))
 	s := b.servers[send(t, b, h, t0, req("r", 3))]
-	b.First(t0, "r")
+	b.ConnectionEstablished(t0, "r")
 	b.Outcome(t0+ms, "r", Reset, true)
 	if t0+ms < s.until {
 		t.Error("ejected for a reset")
@@ -203,10 +203,10 @@
 func TestDelayAtAServerThatHoldsNothing(t *testing.T) {
 	b, h := newBalancer(t, fleet(5))
 	top := send(t, b, h, t0, req("a", 7))
-	b.First(t0, "a")
+	b.ConnectionEstablished(t0, "a")
 	b.Outcome(t0, "a", Reset, true)
-	b.Delay(t0, top, time.Second)
-	b.Delay(t0, "unheard-of", time.Second)
+	b.ServerDelay(t0, top, time.Second)
+	b.ServerDelay(t0, "unheard-of", time.Second)
 	for i := range 8 {
 		id := fmt.Sprint("r", i)
 		if got := send(t, b, h, t0+ms, req(id, 7)); got == top {
--- a/policy/overload_test.go
+++ b/policy/overload_test.go
@@ -21,9 +21,9 @@
 	for _, c := range []struct{ slow, low, high int }{{5, 3850, 3999}, {1, 0, 0}} {
 		b, h := newBalancer(t, fleet(100))
 		for i, s := range b.list[:5] {
-			b.Open(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
+			b.Inherit(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
 			if i < c.slow {
-				b.Heard(t0, s.hash, 300*ms)
+				b.SiblingDelay(t0, s.hash, 300*ms)
 			}
 		}
 		if _, refused := whileOverloaded(b, h); refused < c.low || refused > c.high {
@@ -39,12 +39,12 @@
 		set := settings()
 		set.Siblings = c.siblings
 		b, h := newBalancerWith(t, set, fleet(90))
-		b.Open(t0, req("open", 1), b.list[0].ID)
+		b.Inherit(t0, req("open", 1), b.list[0].ID)
 		for i, s := range b.list[1:26] {
 			if i < 5 {
-				b.Heard(t0, s.hash, 300*ms)
+				b.SiblingDelay(t0, s.hash, 300*ms)
 			} else {
-				b.Reported(t0, s.ID, Report{Answered: true, Load: 0.3})
+				b.ProbeResult(t0, s.ID, Report{Answered: true, Load: 0.3})
 			}
 		}
 		if _, refused := whileOverloaded(b, h); refused < c.low || refused > c.high {
@@ -58,7 +58,7 @@
 func TestStoreThatFailsShutsTheDoorUntilASetUpStands(t *testing.T) {
 	b, h := newBalancer(t, fleet(100))
 	for i, s := range b.list[:40] {
-		b.Open(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
+		b.Inherit(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
 	}
 	now, sends := t0, 0
 	fails := true
@@ -69,7 +69,7 @@
 		for out := h.take("send"); len(out) > 0; out = h.take("send") {
 			sent++
 			if !fails {
-				b.First(now, out[0].request)
+				b.ConnectionEstablished(now, out[0].request)
 				b.Outcome(now, out[0].request, OK, true)
 				break
 			}
--- a/policy/refusal.go
+++ b/policy/refusal.go
@@ -11,7 +11,7 @@
 func (b *Balancer) over(now time.Duration, r *request, last time.Duration) (why Reason, over bool) {
 	switch {
 	case now >= last:
-		return NoTime, true
+		return NoTimeLeft, true
 	case r.excess && !b.many():
 		return Overload, true
 	case r.attempts >= r.most:
@@ -31,18 +31,18 @@
 }
 
 func (b *Balancer) within(moment time.Duration, times []time.Duration) []time.Duration {
-	i, _ := slices.BinarySearch(times, moment-b.set.BudgetSpan)
+	i, _ := slices.BinarySearch(times, moment-b.set.RetryBudgetSpan)
 	return times[i:]
 }
 
 // spentUntil tells when the budget has a further attempt, 0 while it has. Danger: retries multiply a failure.
 func (b *Balancer) spentUntil(now time.Duration) time.Duration {
 	b.again, b.taken = b.within(now, b.again), b.within(now+1, b.taken)
-	most := b.set.SpareAttempts + b.set.AttemptShare*float64(len(b.taken))
-	if b.set.BudgetSpan <= 0 || float64(len(b.again)+1) <= most {
+	most := b.set.RetryBudgetBase + b.set.RetryBudgetRatio*float64(len(b.taken))
+	if b.set.RetryBudgetSpan <= 0 || float64(len(b.again)+1) <= most {
 		return 0
 	}
-	return append(b.again, now)[0] + b.set.BudgetSpan + 1
+	return append(b.again, now)[0] + b.set.RetryBudgetSpan + 1
 }
 
 // giveUp answers at once, refused only where a repeat does no harm, to come back when the cause ends.
@@ -51,7 +51,7 @@
 	if now < ends && ends < never {
 		away = ends - now
 	}
-	if r.ranAt == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.Scope == ScopeAll {
+	if r.ranAt == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.DedupScope == ScopeAll {
 		b.host.Refuse(r.id, away+time.Duration(b.rng.Float64()*float64(away)), why)
 	} else {
 		b.host.Fail(r.id)
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,12 +8,12 @@
 
 func (b *Balancer) Request(now time.Duration, q Request) { // takes a client's request
 	b.taken = append(b.within(now+1, b.taken), now)
-	b.rush.Take(now, b.set.Fall)
+	b.rush.Take(now, b.set.OverloadSpan)
 	b.place(now, b.admit(now, q))
 }
 
-// Open counts a connection that stood when this instance started.
-func (b *Balancer) Open(now time.Duration, q Request, server string) {
+// Inherit counts a connection that stood when this instance started.
+func (b *Balancer) Inherit(now time.Duration, q Request, server string) {
 	r := b.admit(now, q)
 	r.attempts, r.began = 1, true
 	b.attach(now, r, b.server(server))
@@ -25,9 +25,9 @@
 		text = strconv.FormatUint(q.Key, 10)
 	}
 	r := &request{id: q.ID, class: b.set.Classes[q.Class], hash: carpHash(text), midFlow: q.MidFlow,
-		deadline: now + q.TTL, patient: now + q.TTL/2, attempts: q.Made,
+		deadline: now + q.TTL, patient: now + q.TTL/2, attempts: q.PriorAttempts,
 		curious: now + min(b.set.patience*3/4, q.TTL/4), most: b.set.MaxAttempts}
-	if q.Returned {
+	if q.Reconnecting {
 		r.returns = 1
 	}
 	b.reqs[q.ID] = r
@@ -109,20 +109,20 @@
 	switch {
 	case b.many() && b.failed > 0:
 		return half * 9 / 5 // nine tenths of what is left
-	case !b.many() && overload == 0 && r.class.Aim > 0:
-		return min(half, r.class.Aim)
+	case !b.many() && overload == 0 && r.class.SetupTarget > 0:
+		return min(half, r.class.SetupTarget)
 	}
 	return half
 }
 
 func (r *request) repeats(now time.Duration) bool { // whether one more attempt doubles no effect
-	keyed := r.class.Effect == Keyed && now-r.ranSince < r.class.Window
+	keyed := r.class.Effect == Keyed && now-r.ranSince < r.class.DedupWindow
 	return keyed || r.ranAt == nil || r.class.Effect == Safe
 }
 
-// Allows: it may be written now. Danger: while it came up, a drain was told, the list or the window of
+// MayWrite: it may be written now. Danger: while it came up, a drain was told, the list or the window of
 // repeats expired.
-func (b *Balancer) Allows(now time.Duration, id string) bool {
+func (b *Balancer) MayWrite(now time.Duration, id string) bool {
 	r := b.out(id)
 	if r == nil || r.gone || b.listExpired(now) {
 		return false
@@ -138,7 +138,7 @@
 	}
 }
 
-func (b *Balancer) First(now time.Duration, id string) { // tells that a connection stands
+func (b *Balancer) ConnectionEstablished(now time.Duration, id string) { // tells that a connection stands
 	if r := b.out(id); r != nil && !r.began {
 		if r.began, b.failed = true, b.failed/2; !b.many() {
 			b.failed = 0
@@ -160,11 +160,11 @@
 		s.standing--
 	}
 	switch result {
-	case Moot:
+	case NotSent:
 		if i := slices.Index(b.again, r.sentAt); i >= 0 && r.attempts > 1 { // never sent: it does not count
 			b.again = slices.Delete(b.again, i, i+1)
 		}
-	case TurnedAway, Reset, Timeout, ConnectFailed, Error:
+	case Rejected, Reset, Timeout, ConnectFailed, Error:
 		if !r.began { // servers that drop what stands are crowded, not silent
 			b.failed++
 			b.eject(now, s)
@@ -174,13 +174,13 @@
 		delete(b.reqs, r.id)
 		return
 	}
-	if ran := result != TurnedAway && result != ConnectFailed && result != Moot; ran && r.ranAt == nil {
+	if ran := result != Rejected && result != ConnectFailed && result != NotSent; ran && r.ranAt == nil {
 		r.ranAt, r.ranSince = s, r.sentAt
 	}
 	b.place(now, r)
 }
 
-func (b *Balancer) Gone(_ time.Duration, id string) { // the client left; what is out gets its outcome
+func (b *Balancer) ClientGone(_ time.Duration, id string) { // the client left; what is out gets its outcome
 	if r := b.reqs[id]; r != nil {
 		if r.gone = true; r.at == nil {
 			delete(b.reqs, r.id)
@@ -205,9 +205,9 @@
 func (s *Settings) derive() {
 	s.Siblings = max(s.Siblings, 1)
 	for _, c := range s.Classes {
-		s.patience = max(s.patience, c.Aim)
-		if c.MessageAim > 0 && (s.messageAim == 0 || c.MessageAim < s.messageAim) {
-			s.messageAim = c.MessageAim
+		s.patience = max(s.patience, c.SetupTarget)
+		if c.MessageTarget > 0 && (s.messageAim == 0 || c.MessageTarget < s.messageAim) {
+			s.messageAim = c.MessageTarget
 		}
 	}
 }
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -13,7 +13,7 @@
 	ranked = ids(all[0].Balancer, key)
 	for _, b := range all {
 		for i, id := range ranked {
-			b.Reported(t0, id, Report{Answered: true, Load: load(i + 1)})
+			b.ProbeResult(t0, id, Report{Answered: true, Load: load(i + 1)})
 		}
 	}
 	return ranked
@@ -37,7 +37,7 @@
 			})
 			got := fates(all, func(i int) Request {
 				q := sameKey(i)
-				q.Returned = returned
+				q.Reconnecting = returned
 				return q
 			})
 			sent := 0
@@ -70,7 +70,7 @@
 	for _, heard := range []bool{true, false} {
 		b := asking(80, fleet(10))[0]
 		if ranked := ids(b.Balancer, 7); heard {
-			b.Reported(t0, ranked[9], Report{Answered: true, Load: 1})
+			b.ProbeResult(t0, ranked[9], Report{Answered: true, Load: 1})
 		}
 		b.Request(t0, req("r", 7))
 		r := b.reqs["r"]
@@ -111,7 +111,7 @@
 	got := fates(all, midFlow)
 	assert.Equal(t, 40, got[ranked[1]], "at the second, which has most room of the two: %v", got)
 	b := all[0]
-	b.Open(t0, req("old", 7), ranked[0])
+	b.Inherit(t0, req("old", 7), ranked[0])
 	b.host.actions = nil
 	b.Request(t0+100*ms, midFlow(99))
 	if sends := b.host.take("send"); assert.Len(t, sends, 1) {
@@ -139,7 +139,7 @@
 		}
 		return yes
 	}
-	b.rush.Take(t0, b.set.Fall)
+	b.rush.Take(t0, b.set.OverloadSpan)
 	rare, popular := chances(3, 1), chances(3, 60)
 	assert.Zero(t, chances(9, 1), "beyond the ranks that count")
 	assert.Positive(t, rare)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -46,7 +46,7 @@
 			t.Fatalf("only %d requests", w.serial)
 		}
 		set := settings()
-		set.OnlyDrainingBinds, set.BudgetSpan, set.SpareAttempts, set.AttemptShare = true, 2*time.Second, 2, 0.03
+		set.GoneServersUsable, set.RetryBudgetSpan, set.RetryBudgetBase, set.RetryBudgetRatio = true, 2*time.Second, 2, 0.03
 		again += len(runWorld(t, seed, set).again)
 	}
 	if again < 50 {
--- a/policy/siblings_test.go
+++ b/policy/siblings_test.go
@@ -33,7 +33,7 @@
 	}
 	for i := range total {
 		b, id := out[i%n], fmt.Sprint("open", i)
-		b.Open(t0, req(id, uint64(i)*7919), warm[(i/n+i)%len(warm)])
+		b.Inherit(t0, req(id, uint64(i)*7919), warm[(i/n+i)%len(warm)])
 	}
 	return out
 }
@@ -47,10 +47,10 @@
 	for _, n := range []int{1, 3, 8} {
 		all := siblings(n, open, servers)
 		for span := range spans {
-			now := t0 + time.Duration(span)*set.Fall
+			now := t0 + time.Duration(span)*set.OverloadSpan
 			age := now.Seconds() - t0.Seconds()
-			warmth := set.ColdFrom + (1-set.ColdFrom)*age/set.WarmAfter.Seconds()
-			want := set.OverloadFactor * headroom * open / warm * warmth * set.Fall.Seconds() / set.WarmAfter.Seconds()
+			warmth := set.ColdCapacityShare + (1-set.ColdCapacityShare)*age/set.WarmAfter.Seconds()
+			want := set.OverloadFactor * headroom * open / warm * warmth * set.OverloadSpan.Seconds() / set.WarmAfter.Seconds()
 			sum := 0.0
 			for _, b := range all {
 				s := b.servers[servers[warm].ID]
@@ -78,16 +78,16 @@
 		for run := range 10 {
 			all := siblings(n, 0, servers)
 			for i, b := range all {
-				b.set.Shared, b.rng = bears, rand.New(rand.NewPCG(uint64(run), uint64(i)))
+				b.set.QuotaConnections, b.rng = bears, rand.New(rand.NewPCG(uint64(run), uint64(i)))
 			}
 			for i := range 2 * spans * c.rate { // those of the first half only tell the rate
-				now := t0 + time.Duration(i)*set.Fall/time.Duration(c.rate)
+				now := t0 + time.Duration(i)*set.OverloadSpan/time.Duration(c.rate)
 				b, q := all[(i*7919+run)%n], req(fmt.Sprint("r", i), uint64(i))
-				b.host.actions, q.Returned = nil, c.returned
+				b.host.actions, q.Reconnecting = nil, c.returned
 				if b.Request(now, q); i >= spans*c.rate {
 					sent += len(b.host.take("send"))
-					w := set.ColdFrom + (1-set.ColdFrom)*min((now-t0).Seconds()/set.WarmAfter.Seconds(), 1)
-					may += set.OverloadFactor * bears * w * set.Fall.Seconds() / set.WarmAfter.Seconds() / float64(c.rate)
+					w := set.ColdCapacityShare + (1-set.ColdCapacityShare)*min((now-t0).Seconds()/set.WarmAfter.Seconds(), 1)
+					may += set.OverloadFactor * bears * w * set.OverloadSpan.Seconds() / set.WarmAfter.Seconds() / float64(c.rate)
 				}
 			}
 		}
@@ -113,7 +113,7 @@
 		sent := map[string]int{}
 		for i := range open * 6 / 10 {
 			b, q := all[i%n], req(fmt.Sprint("back", i), uint64(i/40)*104729)
-			if q.Returned = true; i%5 == 0 {
+			if q.Reconnecting = true; i%5 == 0 {
 				q.Key = 1
 			}
 			b.host.actions = nil
@@ -122,8 +122,8 @@
 				sent[a.server]++
 			}
 		}
-		capacity := 2.5 * open / fleetSize * set.ColdFrom // of a fleet at four tenths of its capacity
-		bears := set.OverloadFactor * capacity * set.Fall.Seconds() / set.WarmAfter.Seconds()
+		capacity := 2.5 * open / fleetSize * set.ColdCapacityShare // of a fleet at four tenths of its capacity
+		bears := set.OverloadFactor * capacity * set.OverloadSpan.Seconds() / set.WarmAfter.Seconds()
 		total := 0.0
 		for _, id := range cold {
 			if total += float64(sent[id]); float64(sent[id]) > bears+4*math.Sqrt(bears) {
@@ -145,11 +145,11 @@
 	told := 0
 	for i := range rounds {
 		for _, b := range all {
-			b.set.Peers = i > 0
+			b.set.SiblingMessaging = i > 0
 			b.host.actions = nil
 			s := b.list[7]
 			s.delayAt = 0
-			b.Delay(t0+time.Duration(i)*10*time.Second, s.ID, 300*ms)
+			b.ServerDelay(t0+time.Duration(i)*10*time.Second, s.ID, 300*ms)
 			tells := b.host.take("tell")
 			if i == 0 && len(tells) > 0 {
 				t.Fatal("told though siblings may not talk")
@@ -166,8 +166,8 @@
 	}
 	b, h := newBalancer(t, fleet(6))
 	top := b.servers[ids(b, 3)[0]]
-	b.Heard(t0, top.hash, 300*ms)
-	b.Heard(t0, 12345, 300*ms) // nobody we know
+	b.SiblingDelay(t0, top.hash, 300*ms)
+	b.SiblingDelay(t0, 12345, 300*ms) // nobody we know
 	if got := send(t, b, h, t0+ms, req("r", 3)); got == top.ID {
 		t.Error("sent to a server that a sibling told of")
 	}
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -16,7 +16,7 @@
 	if s.Started <= 0 || age >= b.set.WarmAfter {
 		return 1
 	}
-	return b.set.ColdFrom + (1-b.set.ColdFrom)*float64(age)/float64(b.set.WarmAfter)
+	return b.set.ColdCapacityShare + (1-b.set.ColdCapacityShare)*float64(age)/float64(b.set.WarmAfter)
 }
 
 // withinSlowStart tells whether a server that may be in slow start can be sent one more.
@@ -26,7 +26,7 @@
 		return true
 	}
 	// what it may be sent in a span of Fall, as a share of what it bears
-	share := b.set.OverloadFactor * warm * float64(b.set.Fall) / float64(b.set.WarmAfter)
+	share := b.set.OverloadFactor * warm * float64(b.set.OverloadSpan) / float64(b.set.WarmAfter)
 	if b.many() {
 		return b.withinPartOfMany(now, r, s, share)
 	}
@@ -36,10 +36,10 @@
 // withinPartOfMany: each of many balancers has the chance of its part over what comes to it.
 func (b *Balancer) withinPartOfMany(now time.Duration, r *request, s *server, share float64) bool {
 	// what the server bears when all is well, our part of it
-	bears := max(b.set.Shared/b.size/float64(b.set.Siblings), b.usual(now)) * s.Weight
+	bears := max(b.set.QuotaConnections/b.size/float64(b.set.Siblings), b.usual(now)) * s.Weight
 	// of what comes here, the part that may go there
 	reach := max(b.share(r), min(slowStartRanks/float64(len(b.list)), 1))
-	comes := max(b.rush.Rate(now, b.set.Fall), 2*bears*float64(r.returns)) * reach
+	comes := max(b.rush.Rate(now, b.set.OverloadSpan), 2*bears*float64(r.returns)) * reach
 	return r.rank <= slowStartRanks && r.chance(b, s)*comes < slowStartShare*bears*share
 }
 
@@ -47,7 +47,7 @@
 // to it has a chance.
 func (b *Balancer) withinDrawnPart(now time.Duration, r *request, s *server, warm, share float64) bool {
 	part := headroom * b.usual(now) * s.Weight * share
-	if now-s.slowStartAt >= b.set.Fall {
+	if now-s.slowStartAt >= b.set.OverloadSpan {
 		s.slowStartLeft = int(part + b.rng.Float64())
 		s.slowStartLuck = b.rng.Float64()
 		s.slowStartAt = now
@@ -60,11 +60,11 @@
 		chance /= 2
 	}
 	newKey := b.keys[r.hash] <= 1 && r.attempts == 0
-	return newKey && s.slowStartLuck < chance && now-b.roomAt >= b.set.Fall
+	return newKey && s.slowStartLuck < chance && now-b.roomAt >= b.set.OverloadSpan
 }
 
-// Succeed takes over from another process of this balancer, which may just have spent the cold budgets.
-func (b *Balancer) Succeed(now time.Duration) {
+// TakeOver takes over from another process of this balancer, which may just have spent the cold budgets.
+func (b *Balancer) TakeOver(now time.Duration) {
 	b.roomAt = now
 	for _, s := range b.list {
 		s.slowStartLeft, s.slowStartAt = 0, now
@@ -73,7 +73,7 @@
 
 // usual is how many of our connections a server of size 1 bears when warm; at least our part of one.
 func (b *Balancer) usual(now time.Duration) float64 {
-	if now-b.usualAt >= b.set.Fall {
+	if now-b.usualAt >= b.set.OverloadSpan {
 		open, size := 0.0, 0.0
 		for _, s := range b.list {
 			open, size = open+float64(s.standing), size+s.Weight*b.capacityShare(now, s)
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -12,7 +12,7 @@
 	for i := range 60 {
 		id := fmt.Sprint("w", i)
 		send(t, b, h, t0, req(id, uint64(i)*977))
-		b.First(t0, id)
+		b.ConnectionEstablished(t0, id)
 	}
 	servers[2].Started = t0 // restarted under one id
 	b.Members(t0, Delta, servers[2:3])
@@ -49,13 +49,13 @@
 	servers[0].Started = t0
 	b, h := newBalancer(t, servers)
 	now := t0 + b.set.WarmAfter/2
-	b.Succeed(now)
+	b.TakeOver(now)
 	h.actions = nil
 	b.Request(now+ms, req("early", 1))
 	if sent := h.take("send"); len(sent) > 0 {
 		t.Errorf("sent %v", sent)
 	}
-	if at := send(t, b, h, now+b.set.Fall+ms, req("later", 2)); at != servers[0].ID {
+	if at := send(t, b, h, now+b.set.OverloadSpan+ms, req("later", 2)); at != servers[0].ID {
 		t.Errorf("sent to %q", at)
 	}
 }
--- a/policy/state.go
+++ b/policy/state.go
@@ -112,8 +112,8 @@
 		servers: map[string]*server{}, tallies: map[part]tally{}, keys: map[uint32]int{}, reqs: map[string]*request{}}
 }
 
-// Adopt takes other settings from now on; requests keep class and attempts as they were when they came.
-func (b *Balancer) Adopt(set Settings) {
+// ApplySettings takes other settings from now on; requests keep class and attempts as they were when they came.
+func (b *Balancer) ApplySettings(set Settings) {
 	set.derive()
 	b.set = set
 }
--- a/policy/walk.go
+++ b/policy/walk.go
@@ -28,7 +28,7 @@
 		return draining
 	case slices.Contains(r.tried, s):
 		return tried
-	case r.ranAt != nil && r.class.Effect == Keyed && !s.shares(r.class.Scope, r.ranAt.Server):
+	case r.ranAt != nil && r.class.Effect == Keyed && !s.shares(r.class.DedupScope, r.ranAt.Server):
 		return foreign
 	case r.excess && b.capacityShare(now, s) >= 1, b.many() && !r.keeps() && b.full(now, r, s):
 		return crowded
@@ -50,7 +50,7 @@
 // calls gone may run.
 func (b *Balancer) leaving(s *server) bool {
 	if s.State == Gone {
-		return s.bound || !b.set.OnlyDrainingBinds
+		return s.bound || !b.set.GoneServersUsable
 	}
 	return s.State == Draining
 }
@@ -105,8 +105,8 @@
 		r.rank++
 		switch why := b.passOver(now, r, s); {
 		case why == warmingUp && !b.many(): // whose one chance is drawn once
-			ends = min(ends, s.slowStartAt+b.set.Fall)
-		case why == crowded && b.set.Asks && now < r.patient, why > warmingUp && !guessesYield:
+			ends = min(ends, s.slowStartAt+b.set.OverloadSpan)
+		case why == crowded && b.set.Probes && now < r.patient, why > warmingUp && !guessesYield:
 			ends = min(ends, r.patient)
 		case eligible < why && why <= warmingUp:
 		case r.keeps(): // any but its holder resets it
@@ -136,7 +136,7 @@
 // many: more balancers than servers. Own counts tell nothing, top servers tie, all fill the first: drawn.
 func (b *Balancer) many() bool { return scale.Many(b.set.Siblings, len(b.list)) }
 
-func (b *Balancer) informed() bool { return b.many() && b.set.Asks } // by the reports that it asks for
+func (b *Balancer) informed() bool { return b.many() && b.set.Probes } // by the reports that it asks for
 
 func (b *Balancer) mayAsk(now time.Duration, r *request) bool {
 	return now < r.curious && r.asks < 2*r.most
@@ -148,15 +148,15 @@
 		known := s == nil || !b.informed() || now >= r.curious || now-s.heardAt <= noteEvery
 		if !known && now-s.askedAt > b.set.patience && b.mayAsk(now, r) {
 			r.asks, s.askedAt = r.asks+1, now
-			b.host.Ask(s.ID)
+			b.host.Probe(s.ID)
 		}
 		waits = waits || !known && now-s.askedAt <= b.set.patience
 	}
 	return waits
 }
 
-// Reported takes what a server answered when asked.
-func (b *Balancer) Reported(now time.Duration, server string, report Report) {
+// ProbeResult takes what a server answered when asked.
+func (b *Balancer) ProbeResult(now time.Duration, server string, report Report) {
 	s := b.server(server)
 	if report.Answered {
 		b.heardAt, s.heardAt = now, now
@@ -222,7 +222,7 @@
 		return float64(len(s.conns)+1) / s.Weight
 	}
 	if load = s.load; s.Zone != b.set.Zone {
-		load += 2 * b.set.Crossing
+		load += 2 * b.set.CrossZoneCost
 	}
 	return load
 }
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -64,7 +64,7 @@
 		if top := ids(b, key)[:2]; !slices.Contains(top, got) {
 			t.Fatalf("key %d went to %s, not to one of %v", key, got, top)
 		}
-		b.First(t0+time.Duration(i)*10*ms+ms, fmt.Sprint("r", i))
+		b.ConnectionEstablished(t0+time.Duration(i)*10*ms+ms, fmt.Sprint("r", i))
 	}
 }
 
@@ -72,7 +72,7 @@
 	b, h := newBalancer(t, fleet(6))
 	top := ids(b, 3)
 	first := send(t, b, h, t0, req("r", 3))
-	b.Outcome(t0+ms, "r", TurnedAway, false)
+	b.Outcome(t0+ms, "r", Rejected, false)
 	second := h.take("send")[0].server
 	b.Outcome(t0+2*ms, "r", ConnectFailed, false)
 	third := h.take("send")[0].server
@@ -122,7 +122,7 @@
 func TestNobodyEligibleHoldsThenYields(t *testing.T) {
 	b, h := newBalancer(t, fleet(2))
 	b.list[0].State = Draining
-	b.Heard(t0, b.list[1].hash, time.Second)
+	b.SiblingDelay(t0, b.list[1].hash, time.Second)
 	b.Request(t0, req("r", 1))
 	if got := h.take("send"); len(got) != 0 {
 		t.Fatalf("sent to a crowded server at once: %v", got)
@@ -146,7 +146,7 @@
 		case 0:
 			b.eject(now, s)
 		case 1:
-			b.Delay(now, s.ID, time.Duration(rng.IntN(900))*ms)
+			b.ServerDelay(now, s.ID, time.Duration(rng.IntN(900))*ms)
 		case 2:
 			e := s.Server
 			e.State = []State{Ready, Ready, Ready, Draining}[rng.IntN(4)]
@@ -177,7 +177,7 @@
 					t.Fatalf("key %d went to %s past %s and %s without a reason", key, a.server, top[0].ID, top[1].ID)
 				}
 			}
-			b.First(now, id)
+			b.ConnectionEstablished(now, id)
 			b.Outcome(now, id, OK, true)
 		}
 		for _, r := range why {
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -29,7 +29,7 @@
 
 // mayBeSent tells whether the drain rule lets a server be sent to.
 func (w *world) mayBeSent(e Server) bool {
-	if w.set.OnlyDrainingBinds {
+	if w.set.GoneServersUsable {
 		if _, bound := w.bound[e.ID]; bound {
 			return w.now <= w.told[e.ID]+w.set.DrainGrace
 		}
@@ -42,14 +42,14 @@
 func (w *world) rationed() {
 	within := func(times []time.Duration, edge time.Duration) (n int) {
 		for _, at := range times {
-			if at >= w.now-w.set.BudgetSpan+edge {
+			if at >= w.now-w.set.RetryBudgetSpan+edge {
 				n++
 			}
 		}
 		return n
 	}
 	w.again = append(w.again, w.now)
-	if most := w.set.SpareAttempts + w.set.AttemptShare*float64(within(w.taken, 1)); w.set.BudgetSpan > 0 &&
+	if most := w.set.RetryBudgetBase + w.set.RetryBudgetRatio*float64(within(w.taken, 1)); w.set.RetryBudgetSpan > 0 &&
 		float64(within(w.again, 0)) > most {
 		w.fail("%d further attempts, budget %.1f", within(w.again, 0), most)
 	}
@@ -96,7 +96,7 @@
 		switch {
 		case c.class.Effect == Unsafe:
 			w.fail("unsafe request %s sent again", r)
-		case c.class.Effect == Keyed && (!e.shares(c.class.Scope, w.state[c.ran]) || w.now-c.ranSince > c.class.Window):
+		case c.class.Effect == Keyed && (!e.shares(c.class.DedupScope, w.state[c.ran]) || w.now-c.ranSince > c.class.DedupWindow):
 			w.fail("keyed request %s sent where its duplicates are not known", r)
 		}
 	}
@@ -115,7 +115,7 @@
 func (w *world) Refuse(r string, _ time.Duration, _ Reason) {
 	w.trace = append(w.trace, "refuse "+r)
 	if c := w.open[r]; c != nil && c.ran != "" {
-		if c.class.Effect == Unsafe || c.class.Effect == Keyed && c.class.Scope != ScopeAll {
+		if c.class.Effect == Unsafe || c.class.Effect == Keyed && c.class.DedupScope != ScopeAll {
 			w.fail("refusal of %s, which may have run", r)
 		}
 	}
@@ -126,9 +126,9 @@
 
 func (w *world) Move(r string) { w.trace = append(w.trace, "move "+r) }
 
-func (w *world) Tell(uint32, time.Duration) {}
+func (w *world) NotifySiblings(uint32, time.Duration) {}
 
-func (w *world) Ask(string) {}
+func (w *world) Probe(string) {}
 
 func (w *world) Wake(at time.Duration, n int64) {
 	if at <= w.now {
@@ -178,7 +178,7 @@
 		e := w.state[ids[w.rng.IntN(len(ids))]]
 		if next := State(w.rng.IntN(3)); next != e.State {
 			e.State = next
-			if _, bound := w.bound[e.ID]; !bound || !w.set.OnlyDrainingBinds {
+			if _, bound := w.bound[e.ID]; !bound || !w.set.GoneServersUsable {
 				w.told[e.ID] = w.now
 			}
 		}
@@ -210,10 +210,10 @@
 			if over {
 				res = OK
 				delete(w.open, id)
-			} else if res != TurnedAway && res != ConnectFailed && res != Moot && c.ran == "" {
+			} else if res != Rejected && res != ConnectFailed && res != NotSent && c.ran == "" {
 				c.ran = c.out
 			}
-			if i := slices.Index(w.again, c.sentAt); res == Moot && c.attempts > 1 && i >= 0 { // skipped
+			if i := slices.Index(w.again, c.sentAt); res == NotSent && c.attempts > 1 && i >= 0 { // skipped
 				w.again = slices.Delete(w.again, i, i+1)
 			}
 			if c.out = ""; overdue {
@@ -222,9 +222,9 @@
 			w.b.Outcome(w.now, id, res, over)
 		case !c.began && w.rng.IntN(20) == 0:
 			c.began = true
-			w.b.First(w.now, id)
+			w.b.ConnectionEstablished(w.now, id)
 		case c.began && w.rng.IntN(30) == 0:
-			w.b.Note(w.now, id, NoteDelay, float64(w.rng.IntN(4000)))
+			w.b.ConnectionMetric(w.now, id, MetricDelay, float64(w.rng.IntN(4000)))
 		}
 	}
 }
