--- a/internal/discovery/clock.go
+++ b/internal/discovery/clock.go
@@ -10,14 +10,14 @@
 // What counts as told when (the operators' page): an agent's list from the moment the agent has it; what a watch that has
 // fallen silent missed, 6 s after it fell silent or 2 s after the wait of its call is over, whichever is later.
 type Clock struct {
-	Pushed bool          // the list comes from an agent that answers at once and at no cost
-	Grace  time.Duration // after a drain was told, nothing new goes to that desk host once it is over
-	Least  time.Duration // calls for a pushed list are made for this grace at the least, as a busy machine needs it
-	lost   int           // calls in a row without an answer
-	bad    int           // calls in a row whose answer could not be read
-	fails  int           // calls in a row that failed in any way
-	broke  bool          // the last call's connection ended in its midst, and it is made again
-	moved  bool          // discovery has moved, and the new one has not told its list yet
+	Pushed   bool          // the list comes from an agent that answers at once and at no cost
+	Grace    time.Duration // after a drain was told, nothing new goes to that desk host once it is over
+	MinGrace time.Duration // calls for a pushed list are made for this grace at the least, as a busy machine needs it
+	lost     int           // calls in a row without an answer
+	bad      int           // calls in a row whose answer could not be read
+	fails    int           // calls in a row that failed in any way
+	broke    bool          // the last call's connection ended in its midst, and it is made again
+	moved    bool          // discovery has moved, and the new one has not told its list yet
 }
 
 // Call is how one call is made.
@@ -58,7 +58,7 @@
 	case c.Pushed:
 		// Danger: a watch that was held open through an outage may stay silent when the agent has news again, and what the
 		// agent has counts as told. So a call waits for half the grace only, and one that follows a lost one not at all.
-		g := max(c.Grace, c.Least)
+		g := max(c.Grace, c.MinGrace)
 		if whole || c.lost > 0 {
 			return Call{Wait: noWait, Limit: g / 10, Dial: g / 10}
 		}
@@ -125,7 +125,7 @@
 	}
 	switch {
 	case c.Pushed:
-		return true, min(firstPause<<min(c.fails-1, 5), max(c.Grace, c.Least)/20)
+		return true, min(firstPause<<min(c.fails-1, 5), max(c.Grace, c.MinGrace)/20)
 	case how == Silent && (c.lost <= quickCalls || c.moved):
 		return true, 0
 	case how == Unreadable && c.bad <= quickCalls:
--- a/internal/discovery/clock_test.go
+++ b/internal/discovery/clock_test.go
@@ -65,7 +65,7 @@
 func TestPushedNewsIsHereWithinTheGrace(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		grace := time.Duration(rapid.IntRange(200, 3000).Draw(t, "grace")) * ms
-		s := &service{clock: Clock{Pushed: true, Grace: grace, Least: LeastGrace}, takes: time.Duration(rapid.IntRange(0, 5).Draw(t, "takes")) * ms}
+		s := &service{clock: Clock{Pushed: true, Grace: grace, MinGrace: LeastGrace}, takes: time.Duration(rapid.IntRange(0, 5).Draw(t, "takes")) * ms}
 		s.lost = rapid.SliceOfN(rapid.Bool(), 0, 40).Draw(t, "lost")
 		for i := 2; i < len(s.lost); i++ { // what the promise allows: two in a row
 			s.lost[i] = s.lost[i] && !(s.lost[i-1] && s.lost[i-2])
@@ -179,7 +179,7 @@
 	clock.Answered()
 	assert.Equal(t, watchWait, clock.Call(false).Wait)
 
-	agent := Clock{Pushed: true, Grace: time.Second, Least: LeastGrace} // ours alone, but not to be asked in a tight loop
+	agent := Clock{Pushed: true, Grace: time.Second, MinGrace: LeastGrace} // ours alone, but not to be asked in a tight loop
 	for range 20 {
 		again, after := agent.Failed(Refused)
 		assert.True(t, again)
--- a/internal/discovery/hedge_test.go
+++ b/internal/discovery/hedge_test.go
@@ -48,9 +48,9 @@
 	})
 }
 
-// Broken has the watch turned on again as the decision code of a small fleet does, at the latest.
-func (s *slowService) Broken(now time.Duration) {
-	s.recorder.Broken(now)
+// WatchStopped has the watch turned on again as the decision code of a small fleet does, at the latest.
+func (s *slowService) WatchStopped(now time.Duration) {
+	s.recorder.WatchStopped(now)
 	s.queue.Set(now+2400*ms, func(now time.Duration) { s.watcher.Watch(now, true) })
 }
 
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -36,7 +36,7 @@
 		return
 	}
 	w.leased = until
-	w.observer.Leased(now, until)
+	w.observer.LeaseChanged(now, until)
 }
 
 // extend has the lease last at least until a moment.
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -50,7 +50,7 @@
 
 // NewWatcher makes a watcher of the discovery at an address; it holds no list yet.
 func NewWatcher(address string, transport Transport, observer Observer, deadlines *deadline.Queue) *Watcher {
-	return &Watcher{Clock: Clock{Least: LeastGrace}, transport: transport, observer: observer, deadlines: deadlines,
+	return &Watcher{Clock: Clock{MinGrace: LeastGrace}, transport: transport, observer: observer, deadlines: deadlines,
 		address: address, session: NewSession(address, None)}
 }
 
@@ -104,7 +104,7 @@
 	call := w.Call(w.session.Whole())
 	c.wait = call.Wait
 	c.limit = w.deadlines.Set(now+call.Limit, func(now time.Duration) { w.late(now, c) })
-	w.observer.Called(CallStart{Connection: c.number, Address: w.address, Since: w.session.revision, Wait: call.Wait, Limit: call.Limit})
+	w.observer.CallStarted(CallStart{Connection: c.number, Address: w.address, Since: w.session.revision, Wait: call.Wait, Timeout: call.Limit})
 	w.transport.Send(c.number, c.exchange.Call(w.session, call.Wait))
 }
 
@@ -132,11 +132,11 @@
 		began = c.asked
 	}
 	again, after := w.Clock.Failed(how)
-	w.observer.Failed(now, CallFailure{Connection: c.number, Address: w.address, Err: err, Took: now - began, InRow: w.fails,
-		Again: again, After: after, Notable: w.First() || !again}) // danger: an agent that is silent through an outage would fill the log
+	w.observer.CallFailed(now, CallFailure{Connection: c.number, Address: w.address, Err: err, Elapsed: now - began, Consecutive: w.fails,
+		Retries: again, RetryDelay: after, ShouldLog: w.First() || !again}) // danger: an agent that is silent through an outage would fill the log
 	if !again {
 		w.on = false
-		w.observer.Broken(now)
+		w.observer.WatchStopped(now)
 		return
 	}
 	w.deadlines.Stop(w.retry)
@@ -180,7 +180,7 @@
 	switch {
 	case crossed:
 		w.Crossed()
-		w.observer.Crossed()
+		w.observer.CallResent()
 		w.drop(c)
 		w.dial(now)
 	case c.waiting:
@@ -241,6 +241,6 @@
 		w.drop(c)
 		w.dial(now)
 	}
-	w.observer.Listed(now, list)
+	w.observer.ListReceived(now, list)
 	w.renew(now)
 }
--- a/internal/discovery/watcher_test.go
+++ b/internal/discovery/watcher_test.go
@@ -25,15 +25,15 @@
 func (r *recorder) Dial(_ time.Duration, connection int, _ string, _ time.Duration) {
 	r.dials, r.open[connection] = r.dials+1, true
 }
-func (r *recorder) Send(_ int, request []byte)            { r.requests = append(r.requests, string(request)) }
-func (r *recorder) Drop(connection int)                   { delete(r.open, connection) }
-func (r *recorder) Called(CallStart)                      {}
-func (r *recorder) Crossed()                              {}
-func (r *recorder) Failed(_ time.Duration, f CallFailure) { r.failed = append(r.failed, f.Err) }
-func (r *recorder) Broken(time.Duration)                  { r.broken++ }
-func (r *recorder) Listed(_ time.Duration, list *List)    { r.lists = append(r.lists, list) }
-func (r *recorder) Leased(_, until time.Duration)         { r.leased = until }
-func (r *recorder) last() *List                           { return r.lists[len(r.lists)-1] }
+func (r *recorder) Send(_ int, request []byte)                { r.requests = append(r.requests, string(request)) }
+func (r *recorder) Drop(connection int)                       { delete(r.open, connection) }
+func (r *recorder) CallStarted(CallStart)                     {}
+func (r *recorder) CallResent()                               {}
+func (r *recorder) CallFailed(_ time.Duration, f CallFailure) { r.failed = append(r.failed, f.Err) }
+func (r *recorder) WatchStopped(time.Duration)                { r.broken++ }
+func (r *recorder) ListReceived(_ time.Duration, list *List)  { r.lists = append(r.lists, list) }
+func (r *recorder) LeaseChanged(_, until time.Duration)       { r.leased = until }
+func (r *recorder) last() *List                               { return r.lists[len(r.lists)-1] }
 func newWatched() (*Watcher, *recorder, *deadline.Queue) {
 	r, q := &recorder{open: map[int]bool{}}, &deadline.Queue{}
 	w := NewWatcher("d", r, r, q)
--- a/internal/lab/drainsearch/watch.go
+++ b/internal/lab/drainsearch/watch.go
@@ -54,25 +54,25 @@
 // observer hears of the calls of a balancer.
 type observer struct{ *balancer }
 
-// Called does nothing; the service tells the audit of calls.
-func (o observer) Called(discovery.CallStart) {}
+// CallStarted does nothing; the service tells the audit of calls.
+func (o observer) CallStarted(discovery.CallStart) {}
 
-// Crossed does nothing.
-func (o observer) Crossed() {}
+// CallResent does nothing.
+func (o observer) CallResent() {}
 
-// Failed tells who looks at a script.
-func (o observer) Failed(_ time.Duration, f discovery.CallFailure) {
+// CallFailed tells who looks at a script.
+func (o observer) CallFailed(_ time.Duration, f discovery.CallFailure) {
 	o.world.explain("balancer %d: %v", o.number, f.Err)
 }
 
-// Broken tells the module.
-func (o observer) Broken(now time.Duration) { o.table.Members(now, policy.WatchFailed, nil) }
+// WatchStopped tells the module.
+func (o observer) WatchStopped(now time.Duration) { o.table.Members(now, policy.WatchFailed, nil) }
 
-// Leased tells the module.
-func (o observer) Leased(now, until time.Duration) { o.table.Lease(now, until) }
+// LeaseChanged tells the module.
+func (o observer) LeaseChanged(now, until time.Duration) { o.table.Lease(now, until) }
 
-// Listed hands a list on.
-func (o observer) Listed(now time.Duration, list *discovery.List) {
+// ListReceived hands a list on.
+func (o observer) ListReceived(now time.Duration, list *discovery.List) {
 	kind := policy.Delta
 	if list.Complete {
 		kind = policy.Full
--- a/internal/net/rig_test.go
+++ b/internal/net/rig_test.go
@@ -107,10 +107,10 @@
 	list, err := discovery.Parse(cfg.Known)
 	require.NoError(r.t, err)
 	r.node, r.exited = NewNode(cfg, list, io.Discard, filepath.Join(r.folder, r.set["tmp"]), slog.New(slog.NewTextHandler(&r.log, nil))), make(chan error, 1)
-	r.node.patience, r.node.probeWait, r.node.watch.watcher.Least = limit, limit, 10*limit // what a busy machine delays is no silence
-	r.node.listWait = 0                                                                    // most scenarios have no discovery that answers
+	r.node.patience, r.node.probeWait, r.node.watch.watcher.MinGrace = limit, limit, 10*limit // what a busy machine delays is no silence
+	r.node.listWait = 0                                                                       // most scenarios have no discovery that answers
 	for name, span := range map[string]*time.Duration{"silence": &r.node.silence, "patience": &r.node.patience, "listwait": &r.node.listWait,
-		"grace": &r.node.watch.watcher.Least} {
+		"grace": &r.node.watch.watcher.MinGrace} {
 		if s, ok := r.set[name]; ok {
 			*span, err = time.ParseDuration(s)
 			require.NoError(r.t, err)
--- a/internal/net/watch.go
+++ b/internal/net/watch.go
@@ -54,17 +54,17 @@
 	w.node.end(link.conn, false)
 }
 
-// Broken tells the module, which asks again when it sees fit.
-func (w *watch) Broken(now time.Duration) { w.node.table.Members(now, policy.WatchFailed, nil) }
+// WatchStopped tells the module, which asks again when it sees fit.
+func (w *watch) WatchStopped(now time.Duration) { w.node.table.Members(now, policy.WatchFailed, nil) }
 
-// Leased tells the module until when the list may be used.
-func (w *watch) Leased(now, until time.Duration) {
+// LeaseChanged tells the module until when the list may be used.
+func (w *watch) LeaseChanged(now, until time.Duration) {
 	w.leased = true
 	w.node.table.Lease(now, until)
 }
 
-// Listed takes what discovery has told.
-func (w *watch) Listed(now time.Duration, list *discovery.List) {
+// ListReceived takes what discovery has told.
+func (w *watch) ListReceived(now time.Duration, list *discovery.List) {
 	w.noteAnswer(now, list)
 	kind := policy.Delta
 	if list.Complete {
--- a/internal/net/watchlog.go
+++ b/internal/net/watchlog.go
@@ -23,25 +23,27 @@
 // that waits for news lasts longer without any trouble; it ends in an answer.
 const listStaleAfter = 4 * time.Second
 
-// Called counts a call and traces it.
-func (w *watch) Called(call discovery.CallStart) {
+// CallStarted counts a call and traces it.
+func (w *watch) CallStarted(call discovery.CallStart) {
 	w.node.count.Add("discovery calls")
 	w.node.trace("discovery-call", "connection", call.Connection, "address", call.Address, "since", call.Since,
-		"wait", call.Wait, "limit", call.Limit)
+		"wait", call.Wait, "limit", call.Timeout)
 }
 
-// Crossed counts a call that is made again.
-func (w *watch) Crossed() { w.node.count.Add("discovery calls crossed by the end of their connection") }
+// CallResent counts a call that is made again.
+func (w *watch) CallResent() {
+	w.node.count.Add("discovery calls crossed by the end of their connection")
+}
 
-// Failed counts a call that failed and logs it: a notable one for the operator, each for who traces.
-func (w *watch) Failed(now time.Duration, failure discovery.CallFailure) {
+// CallFailed counts a call that failed and logs it: a notable one for the operator, each for who traces.
+func (w *watch) CallFailed(now time.Duration, failure discovery.CallFailure) {
 	w.node.count.Add("discovery calls failed")
 	level := slog.LevelDebug
-	if failure.Notable {
+	if failure.ShouldLog {
 		level = slog.LevelWarn
 	}
 	w.node.log.Log(context.Background(), level, "discovery-call-failed", "reason", failure.Err, "address", failure.Address,
-		"connection", failure.Connection, "took", failure.Took, "in_row", failure.InRow, "again", failure.Again, "after", failure.After)
+		"connection", failure.Connection, "took", failure.Elapsed, "in_row", failure.Consecutive, "again", failure.Retries, "after", failure.RetryDelay)
 	w.noteStale(now, failure)
 }
 
@@ -51,7 +53,7 @@
 		return
 	}
 	w.status.stale = true
-	w.node.log.Warn("list-stale", "revision", w.status.revision, "unheard", w.unheard(now), "failed", failure.InRow, "address", failure.Address)
+	w.node.log.Warn("list-stale", "revision", w.status.revision, "unheard", w.unheard(now), "failed", failure.Consecutive, "address", failure.Address)
 }
 
 // noteAnswer counts an answer and logs what it changes.
