--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -13,42 +13,44 @@
 
 // The kinds of messages.
 const (
-	Room  Kind = "room"  // how many descriptors the other process may have
-	Lead  Kind = "lead"  // from now on the other process is the one that serves
-	Front Kind = "front" // a client's socket comes along, which has opened nothing yet
-	Stand Kind = "stand" // the sockets of a connection that stands come along: the client's, the desk host's
+	KindDescriptorLimit Kind = "room"  // how many descriptors the other process may have
+	KindActivate        Kind = "lead"  // from now on the other process is the one that serves
+	KindIdleClient      Kind = "front" // a client's socket comes along, which has opened nothing yet
+	KindEstablished     Kind = "stand" // the sockets of a connection that stands come along: the client's, the desk host's
 )
 
-// Most is the longest message.
-const Most = 60 << 10
+// MaxMessageSize is the longest message.
+const MaxMessageSize = 60 << 10
 
 // Message is one message.
 type Message struct {
-	Kind    Kind
-	Number  int    // descriptors for Room, milliseconds of silence for Front
-	Server  string // the desk host, for Stand
-	Opening []byte // the client's first line as it came, for Stand
+	Kind     Kind
+	Number   int    // descriptors for Room, milliseconds of silence for Front
+	Server   string // the desk host, for Stand
+	OpenLine []byte // the client's first line as it came, for Stand
 	// What has been read from a socket and not been passed on.
-	FromClient, FromDesk []byte
+	FromClient, FromHost []byte
 }
 
 // Append adds the bytes of a message.
 func (m Message) Append(out []byte) []byte {
-	out = fmt.Appendf(out, "%s %d %d %d %d %s\n", m.Kind, m.Number, len(m.Opening), len(m.FromClient), len(m.FromDesk), m.Server)
-	out = append(out, m.Opening...)
+	out = fmt.Appendf(out, "%s %d %d %d %d %s\n", m.Kind, m.Number, len(m.OpenLine), len(m.FromClient), len(m.FromHost), m.Server)
+	out = append(out, m.OpenLine...)
 	out = append(out, m.FromClient...)
-	return append(out, m.FromDesk...)
+	return append(out, m.FromHost...)
 }
 
-// Files is how many descriptors come along with a message.
-func (m Message) Files() int { return map[Kind]int{Front: 1, Stand: 2}[m.Kind] }
+// Descriptors is how many descriptors come along with a message.
+func (m Message) Descriptors() int {
+	return map[Kind]int{KindIdleClient: 1, KindEstablished: 2}[m.Kind]
+}
 
 var errNone = errors.New("handover: not a message")
 
 // Parse reads a message; its parts are copies.
 func Parse(raw []byte) (m Message, err error) {
 	head, rest, ok := bytes.Cut(raw, []byte("\n"))
-	if !ok || len(raw) > Most {
+	if !ok || len(raw) > MaxMessageSize {
 		return m, errNone
 	}
 	words := bytes.SplitN(head, []byte(" "), 6)
@@ -60,7 +62,7 @@
 		return m, errNone
 	}
 	m.Kind, m.Server = Kind(words[0]), string(words[5])
-	for i, part := range []*[]byte{&m.Opening, &m.FromClient, &m.FromDesk} {
+	for i, part := range []*[]byte{&m.OpenLine, &m.FromClient, &m.FromHost} {
 		if lengths[i] < 0 || lengths[i] > len(rest) {
 			return m, errNone
 		}
@@ -69,7 +71,7 @@
 	switch {
 	case len(rest) > 0, m.Number < 0:
 		return m, errNone
-	case m.Kind != Room && m.Kind != Lead && m.Kind != Front && m.Kind != Stand:
+	case m.Kind != KindDescriptorLimit && m.Kind != KindActivate && m.Kind != KindIdleClient && m.Kind != KindEstablished:
 		return m, errNone
 	}
 	return m, nil
--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -8,10 +8,10 @@
 )
 
 var messages = []Message{
-	{Kind: Room, Number: 384, Opening: []byte{}, FromClient: []byte{}, FromDesk: []byte{}},
-	{Kind: Lead, Opening: []byte{}, FromClient: []byte{}, FromDesk: []byte{}},
-	{Kind: Front, Opening: []byte{}, FromClient: []byte("OPEN 1"), FromDesk: []byte{}},
-	{Kind: Stand, Server: "s-1 b", Opening: []byte("OPEN 1 a c=x,d=1\r\n"), FromClient: []byte("ha\n"), FromDesk: []byte("l")},
+	{Kind: KindDescriptorLimit, Number: 384, OpenLine: []byte{}, FromClient: []byte{}, FromHost: []byte{}},
+	{Kind: KindActivate, OpenLine: []byte{}, FromClient: []byte{}, FromHost: []byte{}},
+	{Kind: KindIdleClient, OpenLine: []byte{}, FromClient: []byte("OPEN 1"), FromHost: []byte{}},
+	{Kind: KindEstablished, Server: "s-1 b", OpenLine: []byte("OPEN 1 a c=x,d=1\r\n"), FromClient: []byte("ha\n"), FromHost: []byte("l")},
 }
 
 func TestMessagesArriveAsSent(t *testing.T) {
@@ -20,7 +20,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, m, got)
 	}
-	assert.Equal(t, 2, messages[3].Files())
+	assert.Equal(t, 2, messages[3].Descriptors())
 }
 
 // A process of another version, or something else, may speak: what makes no sense is no message.
--- a/internal/net/inherit.go
+++ b/internal/net/inherit.go
@@ -21,7 +21,7 @@
 
 // inheritStanding goes on with a connection that stands.
 func (n *Node) inheritStanding(now time.Duration, m handover.Message) []socket {
-	o, err := line.ParseOpening(m.Opening)
+	o, err := line.ParseOpening(m.OpenLine)
 	if err != nil {
 		return nil
 	}
@@ -29,7 +29,7 @@
 	d := newDownstream(n)
 	d.opening, d.taken, d.kept = o, true, m.FromClient
 	u := &upstream{node: n, downstream: d, server: m.Server, last: policy.Reset, cancel: func() {}, sent: true, up: true, upAt: now}
-	u.kept = m.FromDesk
+	u.kept = m.FromHost
 	u.id = n.upstreams.Add(u)
 	d.upstream = u
 	n.delays.of(u.server).fresh = true
@@ -48,13 +48,13 @@
 	switch {
 	case !d.taken:
 		silent := (now - d.since).Milliseconds()
-		if !n.link.send(handover.Message{Kind: handover.Front, Number: int(silent), FromClient: kept}, d.conn) {
+		if !n.link.send(handover.Message{Kind: handover.KindIdleClient, Number: int(silent), FromClient: kept}, d.conn) {
 			return false
 		}
 		n.count.Add("client connections passed on")
 	case u != nil && u.up && u.conn != nil && u.conn.OutboundBuffered() == 0:
-		m := handover.Message{Kind: handover.Stand, Server: u.server, Opening: d.opening.Text(), FromClient: kept,
-			FromDesk: bytes.Clone(u.peek())}
+		m := handover.Message{Kind: handover.KindEstablished, Server: u.server, OpenLine: d.opening.Text(), FromClient: kept,
+			FromHost: bytes.Clone(u.peek())}
 		if !n.link.send(m, d.conn, u.conn) {
 			return false
 		}
@@ -75,14 +75,14 @@
 
 // shareOut tells the younger process how many descriptors it may have; the rest is for us.
 func (n *Node) shareOut(most int) {
-	if n.cfg.Sockets > 0 && n.link.send(handover.Message{Kind: handover.Room, Number: most}) {
+	if n.cfg.Sockets > 0 && n.link.send(handover.Message{Kind: handover.KindDescriptorLimit, Number: most}) {
 		n.share = n.cfg.Sockets - most
 	}
 }
 
 // stepBack has the younger process lead, and hands over to it.
 func (n *Node) stepBack() {
-	if n.link == nil || !n.leading || !n.link.send(handover.Message{Kind: handover.Lead}) {
+	if n.link == nil || !n.leading || !n.link.send(handover.Message{Kind: handover.KindActivate}) {
 		return
 	}
 	n.log.Info("hands-over")
--- a/internal/net/inherit_test.go
+++ b/internal/net/inherit_test.go
@@ -28,7 +28,7 @@
 		var sockets []socket
 		r.onLoop(func(now time.Duration) {
 			opening := []byte("OPEN " + string(rune('1'+i)) + " a c=lookup,d=4000\r\n")
-			sockets = r.node.inheritDownstream(now, handover.Message{Kind: handover.Front, FromClient: opening})
+			sockets = r.node.inheritDownstream(now, handover.Message{Kind: handover.KindIdleClient, FromClient: opening})
 			r.node.dialling++
 		})
 		require.NoError(t, r.node.enroll(sockets[0], conn))
--- a/internal/net/parcel.go
+++ b/internal/net/parcel.go
@@ -17,7 +17,7 @@
 }
 
 // lastLines are what clients are told whose sockets find no other process. Only such sockets go along as are between two lines.
-var lastLines = map[handover.Kind]string{handover.Front: "BUSY\r\n", handover.Stand: "MOVE\r\n"}
+var lastLines = map[handover.Kind]string{handover.KindIdleClient: "BUSY\r\n", handover.KindEstablished: "MOVE\r\n"}
 
 // write sends a parcel, and tells whether it is sent.
 func (p *parcel) write(l *link) bool {
--- a/internal/net/parcel_test.go
+++ b/internal/net/parcel_test.go
@@ -49,14 +49,14 @@
 		require.NoError(t, err)
 		require.NoError(t, r.step(client+" send OPEN 1 a c=lookup,d=4000"))
 		conns := []interface{ Dup() (int, error) }{duplicable{ours.(*stdnet.TCPConn)}}
-		if kind == handover.Stand {
+		if kind == handover.KindEstablished {
 			conns = append(conns, conns[0])
 		}
 		require.True(t, l.send(handover.Message{Kind: kind}, conns...))
 		require.NoError(t, ours.Close())
 	}
-	pass("opens", handover.Front)
-	pass("stands", handover.Stand)
+	pass("opens", handover.KindIdleClient)
+	pass("stands", handover.KindEstablished)
 	l.close()
 	l.write()
 	for _, step := range []string{"opens expect BUSY", "opens wait fin", "stands expect MOVE", "stands wait fin"} {
--- a/internal/net/upgrade.go
+++ b/internal/net/upgrade.go
@@ -82,7 +82,7 @@
 			p.files = append(p.files, fd)
 		}
 	}
-	if !l.ended && len(p.files) == len(conns) && len(p.text) <= handover.Most {
+	if !l.ended && len(p.files) == len(conns) && len(p.text) <= handover.MaxMessageSize {
 		select {
 		case l.out <- p:
 			return true
@@ -95,7 +95,7 @@
 
 func (l *link) read() {
 	<-l.node.booted
-	buf, rights := make([]byte, handover.Most), make([]byte, unix.CmsgSpace(2*4))
+	buf, rights := make([]byte, handover.MaxMessageSize), make([]byte, unix.CmsgSpace(2*4))
 	for {
 		n, r, _, _, err := l.conn.ReadMsgUnix(buf, rights)
 		if err != nil {
@@ -103,7 +103,7 @@
 		}
 		conns := received(rights[:r])
 		m, err := handover.Parse(buf[:n])
-		if err != nil || len(conns) != m.Files() {
+		if err != nil || len(conns) != m.Descriptors() {
 			for _, c := range conns {
 				_ = c.Close()
 			}
@@ -139,15 +139,15 @@
 	n.post(func(now time.Duration) {
 		var s []socket
 		switch m.Kind {
-		case handover.Room:
+		case handover.KindDescriptorLimit:
 			n.share = m.Number
-		case handover.Lead:
+		case handover.KindActivate:
 			n.log.Info("takes-over")
 			n.leading = true
 			n.table.Succeed(now)
-		case handover.Front:
+		case handover.KindIdleClient:
 			s = n.inheritDownstream(now, m)
-		case handover.Stand:
+		case handover.KindEstablished:
 			s = n.inheritStanding(now, m)
 		}
 		n.dialling += len(s)
@@ -158,7 +158,7 @@
 			n.lost(s, err)
 		}
 	}
-	if m.Kind == handover.Stand { // one that could not be read: both ends close
+	if m.Kind == handover.KindEstablished { // one that could not be read: both ends close
 		for _, c := range conns {
 			_ = c.Close()
 		}
