--- a/internal/lab/drainsearch/attempt.go
+++ b/internal/lab/drainsearch/attempt.go
@@ -28,7 +28,7 @@
 	over   bool
 }
 
-var _ request.Carrier = (*balancer)(nil)
+var _ request.Transport = (*balancer)(nil)
 
 // request has a client come.
 func (b *balancer) request(r Request) {
@@ -39,12 +39,12 @@
 	c := &client{Request: r, owner: b.owners}
 	b.later(b.world.now, func(now time.Duration) {
 		b.clients[c.owner] = c
-		c.id = b.table.Take(now, c.owner, policy.Request{Class: r.Class, Key: r.Key, HasKey: true, TTL: r.TTL, MidFlow: r.MidFlow})
+		c.id = b.table.Submit(now, c.owner, policy.Request{Class: r.Class, Key: r.Key, HasKey: true, TTL: r.TTL, MidFlow: r.MidFlow})
 	})
 	if r.Leaves > 0 {
 		b.later(b.world.now+r.Leaves, func(now time.Duration) {
 			if c.left = true; !c.done {
-				b.table.Left(now, c.id)
+				b.table.ClientLeft(now, c.id)
 			}
 		})
 	}
@@ -80,7 +80,7 @@
 
 // connected writes the first line, if the gate lets it.
 func (b *balancer) connected(now time.Duration, a *attempt, answer Answer) {
-	result, ok := b.table.Writable(now, a.client.id, a.until, func() bool { return a.client.left })
+	result, ok := b.table.MayWrite(now, a.client.id, a.until, func() bool { return a.client.left })
 	if !ok && !b.world.options.NoGate {
 		b.ended(a, result)
 		return
@@ -110,14 +110,14 @@
 
 func (b *balancer) stands(now time.Duration, a *attempt) {
 	a.client.done = true
-	b.table.Up(now, a.client.id)
+	b.table.Established(now, a.client.id)
 	b.afterAttempt(a, lifetime, func(time.Duration) { b.ended(a, policy.OK) })
 }
 
 func (b *balancer) ended(a *attempt, result policy.Result) {
 	a.over = true
 	a.client.attempt = nil
-	b.table.Ended(b.world.now, a.client.id, result)
+	b.table.AttemptEnded(b.world.now, a.client.id, result)
 }
 
 // Abandon ends the attempt that is out.
--- a/internal/lab/drainsearch/balancer.go
+++ b/internal/lab/drainsearch/balancer.go
@@ -68,7 +68,7 @@
 		seed := b.world.script.Seed + uint64(b.number)<<32 + uint64(b.process)<<48
 		b.table = request.New(func(h policy.Host) request.Module { return cells.New(set, seed, h, nil) }, b, &b.deadlines, counters.Set{})
 		b.members(now, policy.Cached, known)
-		b.table.Lease(now, now) // as the real one does
+		b.table.SetLease(now, now) // as the real one does
 		if b.watcher.Pushed {
 			b.watcher.Watch(now, true)
 		}
@@ -155,7 +155,7 @@
 		b.world.audit.Reloaded(b.number, b.world.now)
 	}
 	b.later(b.world.now, func(now time.Duration) {
-		b.table.Adopt(b.settings())
+		b.table.Reconfigure(b.settings())
 		if moves {
 			b.heard = false
 			b.watcher.MoveTo(now, "elsewhere")
--- a/internal/lab/drainsearch/watch.go
+++ b/internal/lab/drainsearch/watch.go
@@ -66,10 +66,12 @@
 }
 
 // WatchStopped tells the module.
-func (o observer) WatchStopped(now time.Duration) { o.table.Members(now, policy.WatchFailed, nil) }
+func (o observer) WatchStopped(now time.Duration) {
+	o.table.UpdateMembers(now, policy.WatchFailed, nil)
+}
 
 // LeaseChanged tells the module.
-func (o observer) LeaseChanged(now, until time.Duration) { o.table.Lease(now, until) }
+func (o observer) LeaseChanged(now, until time.Duration) { o.table.SetLease(now, until) }
 
 // ListReceived hands a list on.
 func (o observer) ListReceived(now time.Duration, list *discovery.List) {
@@ -84,5 +86,5 @@
 	for _, m := range list.Members {
 		b.listed[m.ID] = true
 	}
-	b.table.Members(now, kind, list.Servers())
+	b.table.UpdateMembers(now, kind, list.Servers())
 }
--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -98,13 +98,13 @@
 
 // figures are made at each call.
 func (n *Node) figures(now time.Duration) admin.Figures {
-	ends := n.table.Ends()
+	ends := n.table.AnswerCounts()
 	for class := range n.cfg.Settings.Policy.Classes {
 		ends[class] = ends[class] // also those that nobody has asked for yet
 	}
 	f := admin.Figures{Classes: ends, Attempts: n.count["attempts written"], Pending: n.table.Len(),
 		Reloads: n.count["configurations taken in"], Refused: n.count["configurations refused"]}
-	f.Members, f.Unavailable = n.table.Listed(now)
+	f.Members, f.Unavailable = n.table.MemberCounts(now)
 	f.List = admin.List{Revision: n.watch.status.revision, Unheard: n.watch.unheard(now), Calls: n.count["discovery calls"],
 		Failed: n.count["discovery calls failed"], NotWritten: n.count["attempts not written: no longer allowed"]}
 	f.Plan = n.weigher.Figures(now)
--- a/internal/net/carrier.go
+++ b/internal/net/carrier.go
@@ -12,7 +12,7 @@
 // carrier carries out the actions of the requests; their owners are the numbers of downstream sockets.
 type carrier struct{ node *Node }
 
-var _ request.Carrier = carrier{}
+var _ request.Transport = carrier{}
 
 func (c carrier) Begin(owner slot.ID, server string, until time.Duration) error {
 	d, ok := c.node.downstreams.Get(owner)
--- a/internal/net/delay.go
+++ b/internal/net/delay.go
@@ -41,7 +41,7 @@
 
 // size takes how many desk hosts are listed, and tells it.
 func (s *delays) size(n *Node, now time.Duration) (listed int) {
-	listed, _ = n.table.Listed(now)
+	listed, _ = n.table.MemberCounts(now)
 	s.many = scale.Many(n.cfg.Settings.Policy.Siblings, listed)
 	return listed
 }
@@ -162,7 +162,7 @@
 		n.count.Add("delays told")
 		n.trace("delay-told", "host", server, "ms", took.Milliseconds(), "echo", echo, "x0", l.report.x0)
 		l.toldAt = now
-		n.table.Delay(now, server, took)
+		n.table.ObserveDelay(now, server, took)
 	}
 	l.told = slow
 }
--- a/internal/net/dial.go
+++ b/internal/net/dial.go
@@ -25,7 +25,7 @@
 		return nil
 	case !n.spare(2): // danger: a dial without a descriptor would look like an ill host
 		n.count.Add("attempts not begun: no descriptors")
-		return request.ErrNoRoom
+		return request.ErrNoDescriptors
 	}
 	u := &upstream{node: n, downstream: d, server: server, until: until, last: policy.Reset}
 	u.id = n.upstreams.Add(u)
--- a/internal/net/dialfailure_test.go
+++ b/internal/net/dialfailure_test.go
@@ -92,7 +92,7 @@
 	done := make(chan struct{})
 	r.node.post(func(now time.Duration) {
 		defer close(done)
-		_, avoided = r.node.table.Listed(now)
+		_, avoided = r.node.table.MemberCounts(now)
 	})
 	<-done
 	return avoided
@@ -106,7 +106,7 @@
 			r.set["tries"] = "1"
 			calls := r.failingFirst(1, failure("connect", cause))
 			r.steps("a connect", "a send OPEN 1 a c=lookup,d=4000", "a expect BUSY *",
-				"wait count attempts ended: "+request.Results[policy.ConnectFailed]+" 1")
+				"wait count attempts ended: "+request.ResultNames[policy.ConnectFailed]+" 1")
 			assert.EqualValues(t, 1, calls.Load())
 		})
 	}
--- a/internal/net/downstream.go
+++ b/internal/net/downstream.go
@@ -137,10 +137,10 @@
 // refusal tells what speaks against an opening that can be read.
 func (n *Node) refusal(o line.Opening) error {
 	if _, known := n.cfg.Settings.Policy.Classes[o.Class]; !known {
-		n.table.Unknown(o.Class)
+		n.table.CountUnknownClass(o.Class)
 		return fmt.Errorf("no class %q", o.Class)
 	}
-	if n.table.Open(o.ID) {
+	if n.table.IsOpen(o.ID) {
 		return fmt.Errorf("an operation of id %s is open", o.ID)
 	}
 	return nil
@@ -168,13 +168,13 @@
 	n.lastOpen = now
 	if n.tooLate(o) {
 		n.count.Add("operations refused: after the latest moment")
-		n.table.Refused(o.Class)
+		n.table.CountRejected(o.Class)
 		d.busy(now, 0)
 		return
 	}
 	if !n.room(2) { // danger: a dial without a descriptor would look like an ill host
 		n.count.Add("operations refused: no descriptors")
-		n.table.Refused(o.Class)
+		n.table.CountRejected(o.Class)
 		d.traceRefusal(noDescriptors, shortage)
 		d.busy(now, shortage)
 		return
@@ -188,13 +188,13 @@
 	// comes before that; it finds this downstream by its own number.
 	if o.At != "" {
 		n.count.Add("operations handed over")
-		d.request = n.table.Hand(now, d.id, q, o.At)
+		d.request = n.table.SubmitMidFlow(now, d.id, q, o.At)
 		return
 	}
 	if o.MidFlow {
 		n.count.Add("operations mid-flow")
 	}
-	d.request = n.table.Take(now, d.id, q)
+	d.request = n.table.Submit(now, d.id, q)
 }
 
 // request is an opening as the module takes it.
@@ -244,5 +244,5 @@
 		return
 	}
 	d.node.count.Add("clients gone before their answer")
-	d.node.table.Left(now, d.request)
+	d.node.table.ClientLeft(now, d.request)
 }
--- a/internal/net/drain.go
+++ b/internal/net/drain.go
@@ -71,7 +71,7 @@
 			n.dismissResting(now)
 		}
 	}
-	answered := n.table.Owed() == 0 && now-n.lastOpen >= settled && !n.midLine()
+	answered := n.table.Unanswered() == 0 && now-n.lastOpen >= settled && !n.midLine()
 	if done := n.cfg.Settings.PassThrough && answered && n.table.Len() == 0 ||
 		!n.cfg.Settings.PassThrough && (answered || now >= latest); !done {
 		n.reopen()
@@ -129,7 +129,7 @@
 		n.answerOwed(now) // danger: one that lay there was taken just now
 		return true
 	}
-	if n.table.Owed() > 0 { // a request lay there
+	if n.table.Unanswered() > 0 { // a request lay there
 		return false
 	}
 	waits := now-n.closingSince < drainCheck || n.downstreams.Len() > 0
@@ -185,7 +185,7 @@
 		if d.conn != nil && d.taken && !d.ending && (d.upstream == nil || !d.upstream.up) {
 			n.count.Add("operations answered: failed, at the end")
 			d.answer(now, "ERR\r\n")
-			n.table.Spoilt(now, d.request)
+			n.table.ProtocolError(now, d.request)
 		}
 	}
 }
--- a/internal/net/large_test.go
+++ b/internal/net/large_test.go
@@ -17,7 +17,7 @@
 	done := make(chan struct{})
 	r.node.post(func(now time.Duration) {
 		defer close(done)
-		out.listed, _ = r.node.table.Listed(now)
+		out.listed, _ = r.node.table.MemberCounts(now)
 		out.addresses = len(r.node.addresses)
 	})
 	<-done
--- a/internal/net/node.go
+++ b/internal/net/node.go
@@ -168,7 +168,7 @@
 		n.members(now, policy.Cached, n.known)
 		n.listDue = now + n.listWait
 		if n.listWait > 0 { // what it was started with may be old
-			n.table.Lease(now, now)
+			n.table.SetLease(now, now)
 		}
 		if n.watch.watcher.Pushed {
 			n.watch.watcher.Watch(now, true)
@@ -200,7 +200,7 @@
 		}
 		n.trace("listed", "host", m.ID, "state", int(m.State), "started_ms", m.Started.Milliseconds())
 	}
-	n.table.Members(now, kind, n.weigher.Take(now, kind, n.servers(now, kind, list)))
+	n.table.UpdateMembers(now, kind, n.weigher.Take(now, kind, n.servers(now, kind, list)))
 	n.zonesListed(now)
 	n.delays.size(n, now)
 }
@@ -209,7 +209,7 @@
 func (n *Node) reweigh(now time.Duration) {
 	if changed := n.weigher.Replan(now, n.cfg.Placement.Plan, n.cfg.Settings.Policy.Zone); len(changed) > 0 {
 		n.log.Info("plan-weights-changed", "hosts", len(changed))
-		n.table.Members(now, policy.Delta, changed)
+		n.table.UpdateMembers(now, policy.Delta, changed)
 	}
 	n.deadlines.Stop(n.fades)
 	if n.fades = nil; n.weigher.Next(now) > 0 {
--- a/internal/net/relay.go
+++ b/internal/net/relay.go
@@ -18,7 +18,7 @@
 	if u == nil || !u.up {
 		if err := early(buf, d.node.buffered()); err != nil {
 			d.malformed(now, err)
-			d.node.table.Spoilt(now, d.request)
+			d.node.table.ProtocolError(now, d.request)
 		}
 		return
 	}
--- a/internal/net/reload.go
+++ b/internal/net/reload.go
@@ -41,8 +41,8 @@
 		cfg.Listen, cfg.Admin, cfg.Name = n.cfg.Listen, n.cfg.Admin, n.cfg.Name
 	}
 	n.adopt(cfg)
-	n.table.Adopt(cfg.Settings.Policy)
-	n.table.Settle(n.now(), func() { n.fleet.Replan(n.now(), cfg.Plan) })
+	n.table.Reconfigure(cfg.Settings.Policy)
+	n.table.CallModule(n.now(), func() { n.fleet.Replan(n.now(), cfg.Plan) })
 	n.reweigh(n.now())
 	n.recorder.turn(n, n.now())
 	n.turnZones(n.now())
--- a/internal/net/upgrade.go
+++ b/internal/net/upgrade.go
@@ -144,7 +144,7 @@
 		case handover.KindActivate:
 			n.log.Info("takes-over")
 			n.leading = true
-			n.table.Succeed(now)
+			n.table.StartAsSuccessor(now)
 		case handover.KindIdleClient:
 			s = n.inheritDownstream(now, m)
 		case handover.KindEstablished:
--- a/internal/net/upstream.go
+++ b/internal/net/upstream.go
@@ -45,7 +45,7 @@
 		return gnet.None
 	}
 	if result, ok := u.writable(now); !ok {
-		u.traceAttempt("attempt-not-written", "result", request.Results[result], "unheard", u.node.watch.unheard(now))
+		u.traceAttempt("attempt-not-written", "result", request.ResultNames[result], "unheard", u.node.watch.unheard(now))
 		u.conn = nil // gnet closes it after this
 		u.close(now, false, result)
 		return gnet.Close
@@ -62,7 +62,7 @@
 // writable is asked just before the first line is written, as the connection took its time to come up; else it tells what
 // came of the attempt.
 func (u *upstream) writable(now time.Duration) (result policy.Result, ok bool) {
-	return u.node.table.Writable(now, u.downstream.request, u.until, u.downstream.hungUp)
+	return u.node.table.MayWrite(now, u.downstream.request, u.until, u.downstream.hungUp)
 }
 
 // traffic reads what the desk host answers, and passes on whole lines once the connection stands.
@@ -102,7 +102,7 @@
 		u.traceAttempt("attempt-up", "returned", u.downstream.opening.Returned, "mid", u.downstream.opening.MidFlow)
 		u.node.zoneSaw(now, u.server, true)
 		u.node.write(u.downstream.conn, text)
-		u.node.table.Up(now, u.downstream.request)
+		u.node.table.Established(now, u.downstream.request)
 		u.downstream.traffic(now)
 	case line.Busy:
 		u.close(now, false, policy.Rejected)
@@ -141,12 +141,12 @@
 // close ends the socket and tells the outcome.
 func (u *upstream) close(now time.Duration, reset bool, result policy.Result) {
 	if !u.over {
-		u.traceAttempt("attempt-ended", "stood", u.up, "result", request.Results[result], "after", now-u.upAt)
+		u.traceAttempt("attempt-ended", "stood", u.up, "result", request.ResultNames[result], "after", now-u.upAt)
 		if !u.up && (result == policy.Timeout || result == policy.ConnectFailed || result == policy.Reset || result == policy.Error) {
 			u.node.zoneSaw(now, u.server, false) // a full host that says BUSY is no sign of a broken zone
 		}
 		u.drop(reset)
-		u.node.table.Ended(now, u.downstream.request, result)
+		u.node.table.AttemptEnded(now, u.downstream.request, result)
 	}
 }
 
--- a/internal/net/wallclock_test.go
+++ b/internal/net/wallclock_test.go
@@ -91,11 +91,11 @@
 	require.NoError(t, r.step("a connect"))
 	r.onLoop(func(now time.Duration) {
 		tellPhase(t, r.node, now, policy.Full, now-time.Minute, "terminating")
-		_, avoided := r.node.table.Listed(now)
+		_, avoided := r.node.table.MemberCounts(now)
 		assert.Equal(t, 1, avoided)
 		r.node.wall.ahead = func() time.Duration { return -time.Hour }
 		tell(t, r.node, now, policy.Delta, now-time.Hour)
-		_, avoided = r.node.table.Listed(now)
+		_, avoided = r.node.table.MemberCounts(now)
 		assert.Zero(t, avoided)
 	})
 }
--- a/internal/net/watch.go
+++ b/internal/net/watch.go
@@ -55,12 +55,14 @@
 }
 
 // WatchStopped tells the module, which asks again when it sees fit.
-func (w *watch) WatchStopped(now time.Duration) { w.node.table.Members(now, policy.WatchFailed, nil) }
+func (w *watch) WatchStopped(now time.Duration) {
+	w.node.table.UpdateMembers(now, policy.WatchFailed, nil)
+}
 
 // LeaseChanged tells the module until when the list may be used.
 func (w *watch) LeaseChanged(now, until time.Duration) {
 	w.leased = true
-	w.node.table.Lease(now, until)
+	w.node.table.SetLease(now, until)
 }
 
 // ListReceived takes what discovery has told.
--- a/internal/request/answers.go
+++ b/internal/request/answers.go
@@ -27,12 +27,12 @@
 	t.ends[class] = e
 }
 
-// Refused tells that the carrier refused a client's request which it did not give in.
-func (t *Table) Refused(class string) { t.counted(class, rejected) }
+// CountRejected tells that the carrier refused a client's request which it did not give in.
+func (t *Table) CountRejected(class string) { t.counted(class, rejected) }
 
-// Unknown tells that a client asked for a class that the settings do not name. Where they did once, it counts:
+// CountUnknownClass tells that a client asked for a class that the settings do not name. Where they did once, it counts:
 // the client learned of the change by failing.
-func (t *Table) Unknown(class string) {
+func (t *Table) CountUnknownClass(class string) {
 	if _, ok := t.ends[class]; ok {
 		t.counted(class, failed)
 	}
--- a/internal/request/attempt.go
+++ b/internal/request/attempt.go
@@ -8,8 +8,8 @@
 	"tealtiller/policy"
 )
 
-// ErrNoRoom tells that the carrier had no means to begin an attempt.
-var ErrNoRoom = errors.New("no descriptor for an attempt")
+// ErrNoDescriptors tells that the carrier had no means to begin an attempt.
+var ErrNoDescriptors = errors.New("no descriptor for an attempt")
 
 func (t *Table) begin(req *request, server string, timeout time.Duration) {
 	until := t.now + timeout
@@ -18,17 +18,17 @@
 	req.until = t.deadlines.Set(until, func(now time.Duration) { t.overdue(now, req) })
 	if err := t.carrier.Begin(req.owner, server, until); err != nil {
 		result := policy.ConnectFailed
-		if errors.Is(err, ErrNoRoom) {
+		if errors.Is(err, ErrNoDescriptors) {
 			result = policy.NotSent
 		}
 		t.queue = append(t.queue, func(time.Duration) { t.ended(req, result) })
 	}
 }
 
-// Writable tells whether the attempt that is out may be written now: the one gate, just before its first byte is. Else it
+// MayWrite tells whether the attempt that is out may be written now: the one gate, just before its first byte is. Else it
 // tells what came of the attempt. Danger: the connection took its time to come up, and meanwhile the client went, the desk
 // host was told to drain, or the time in which a repeat does no harm has passed.
-func (t *Table) Writable(now time.Duration, id slot.ID, until time.Duration, clientGone func() bool) (result policy.Result, ok bool) {
+func (t *Table) MayWrite(now time.Duration, id slot.ID, until time.Duration, clientGone func() bool) (result policy.Result, ok bool) {
 	switch {
 	case now >= until: // its deadline is due, and has not run yet
 		return policy.ConnectFailed, false
@@ -47,8 +47,8 @@
 	return ok && req.out && !req.answered && (req.handed || t.module.MayWrite(now, req.name))
 }
 
-// Up tells that the attempt has brought up the connection.
-func (t *Table) Up(now time.Duration, id slot.ID) {
+// Established tells that the attempt has brought up the connection.
+func (t *Table) Established(now time.Duration, id slot.ID) {
 	req, ok := t.requests.Get(id)
 	if !ok || !req.out || req.stands {
 		return
@@ -75,8 +75,8 @@
 	t.settle()
 }
 
-// Results are the names of how attempts and connections end.
-var Results = map[policy.Result]string{policy.OK: "ok", policy.Error: "error", policy.Rejected: "busy",
+// ResultNames are the names of how attempts and connections end.
+var ResultNames = map[policy.Result]string{policy.OK: "ok", policy.Error: "error", policy.Rejected: "busy",
 	policy.Timeout: "timeout", policy.ConnectFailed: "connect failed", policy.Reset: "reset",
 	policy.Cancelled: "cancelled", policy.NotSent: "moot"}
 
@@ -88,9 +88,9 @@
 	t.deadlines.Stop(req.until)
 	req.out = false
 	if req.stands {
-		t.count.Add("connections ended: " + Results[result])
+		t.count.Add("connections ended: " + ResultNames[result])
 	} else {
-		t.count.Add("attempts ended: " + Results[result])
+		t.count.Add("attempts ended: " + ResultNames[result])
 	}
 	over := req.answered || result == policy.OK
 	if !over && req.handed { // no other host can go on with it
--- a/internal/request/handed.go
+++ b/internal/request/handed.go
@@ -7,8 +7,8 @@
 	"tealtiller/policy"
 )
 
-// Hand takes a connection that stands at a host already; its first attempt goes there.
-func (t *Table) Hand(now time.Duration, owner slot.ID, q policy.Request, server string) slot.ID {
+// SubmitMidFlow takes a connection that stands at a host already; its first attempt goes there.
+func (t *Table) SubmitMidFlow(now time.Duration, owner slot.ID, q policy.Request, server string) slot.ID {
 	req := t.add(owner, q)
 	q.ID, t.now, req.handed = req.name, now, true
 	t.module.Inherit(now, q, server)
@@ -37,5 +37,5 @@
 	}
 }
 
-// Succeed tells that this process takes over from another one of this balancer.
-func (t *Table) Succeed(now time.Duration) { t.module.TakeOver(now) }
+// StartAsSuccessor tells that this process takes over from another one of this balancer.
+func (t *Table) StartAsSuccessor(now time.Duration) { t.module.TakeOver(now) }
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -14,9 +14,9 @@
 	"tealtiller/policy"
 )
 
-// Carrier is the protocol's side. Owner is the number under which it gave a request in. None of its
+// Transport is the protocol's side. Owner is the number under which it gave a request in. None of its
 // methods may call the table: what comes of them is told later.
-type Carrier interface {
+type Transport interface {
 	// Begin starts an attempt at a host, which is given up at a time. An error means that nothing
 	// was begun; with ErrNoRoom the host is not to blame.
 	Begin(owner slot.ID, server string, until time.Duration) error
@@ -55,7 +55,7 @@
 
 // Table holds all requests of a balancer.
 type Table struct {
-	carrier   Carrier
+	carrier   Transport
 	module    Module
 	deadlines *deadline.Queue
 	count     counters.Set
@@ -80,34 +80,36 @@
 }
 
 // New makes an empty table with a module that starts from nothing.
-func New(module func(policy.Host) Module, carrier Carrier, q *deadline.Queue, count counters.Set) *Table {
+func New(module func(policy.Host) Module, carrier Transport, q *deadline.Queue, count counters.Set) *Table {
 	t := &Table{carrier: carrier, deadlines: q, count: count, open: map[string]slot.ID{},
 		ends: map[string]counters.Ends{}}
 	t.module = module(host{t})
 	return t
 }
 
-// Settle carries out what the module has asked for in a call that its owner made past the table.
-func (t *Table) Settle(now time.Duration, call func()) {
+// CallModule carries out what the module has asked for in a call that its owner made past the table.
+func (t *Table) CallModule(now time.Duration, call func()) {
 	t.now = now
 	call()
 	t.settle()
 }
 
-// Adopt has the module go on by other settings.
-func (t *Table) Adopt(set policy.Settings) { t.module.ApplySettings(set) }
+// Reconfigure has the module go on by other settings.
+func (t *Table) Reconfigure(set policy.Settings) { t.module.ApplySettings(set) }
 
 // Len is how many requests there are, standing connections included.
 func (t *Table) Len() int { return t.requests.Len() }
 
-// Ends counts the final answers by class, also of classes that are no longer in use.
-func (t *Table) Ends() map[string]counters.Ends { return maps.Clone(t.ends) }
+// AnswerCounts counts the final answers by class, also of classes that are no longer in use.
+func (t *Table) AnswerCounts() map[string]counters.Ends { return maps.Clone(t.ends) }
 
-// Listed is how many servers the list names, and how many of them the module avoids now.
-func (t *Table) Listed(now time.Duration) (listed, avoided int) { return t.module.ServerCounts(now) }
+// MemberCounts is how many servers the list names, and how many of them the module avoids now.
+func (t *Table) MemberCounts(now time.Duration) (listed, avoided int) {
+	return t.module.ServerCounts(now)
+}
 
-// Owed is how many requests still wait for their final answer.
-func (t *Table) Owed() (n int) {
+// Unanswered is how many requests still wait for their final answer.
+func (t *Table) Unanswered() (n int) {
 	for _, req := range t.requests.All() {
 		if !req.stands && !req.answered {
 			n++
@@ -116,9 +118,9 @@
 	return n
 }
 
-// Open tells whether a request of this client's id is open. Danger: another client that sends the same id
+// IsOpen tells whether a request of this client's id is open. Danger: another client that sends the same id
 // would have the desk hosts refuse what they already hold, and be taken to be ill for it.
-func (t *Table) Open(client string) bool {
+func (t *Table) IsOpen(client string) bool {
 	_, ok := t.open[client]
 	return ok
 }
@@ -142,9 +144,9 @@
 	return req
 }
 
-// Take takes a client's request, under the client's own id, which must not be open; what the module does with
+// Submit takes a client's request, under the client's own id, which must not be open; what the module does with
 // it is carried out before this returns.
-func (t *Table) Take(now time.Duration, owner slot.ID, q policy.Request) slot.ID {
+func (t *Table) Submit(now time.Duration, owner slot.ID, q policy.Request) slot.ID {
 	req := t.add(owner, q)
 	q.ID, t.now = req.name, now
 	t.module.Request(now, q)
@@ -152,8 +154,8 @@
 	return req.id
 }
 
-// Ended tells how the attempt that was out has ended, or the connection that it brought up.
-func (t *Table) Ended(now time.Duration, id slot.ID, result policy.Result) {
+// AttemptEnded tells how the attempt that was out has ended, or the connection that it brought up.
+func (t *Table) AttemptEnded(now time.Duration, id slot.ID, result policy.Result) {
 	if req, ok := t.requests.Get(id); ok && req.out {
 		t.now = now
 		t.ended(req, result)
@@ -161,16 +163,16 @@
 	}
 }
 
-// Spoilt tells that the client broke the protocol, for which the carrier has answered it.
-func (t *Table) Spoilt(now time.Duration, id slot.ID) {
+// ProtocolError tells that the client broke the protocol, for which the carrier has answered it.
+func (t *Table) ProtocolError(now time.Duration, id slot.ID) {
 	if req, ok := t.requests.Get(id); ok && !req.answered {
 		t.counted(req.class, failed)
 	}
-	t.Left(now, id)
+	t.ClientLeft(now, id)
 }
 
-// Left tells that the client has gone. A connection that stood has ended with it.
-func (t *Table) Left(now time.Duration, id slot.ID) {
+// ClientLeft tells that the client has gone. A connection that stood has ended with it.
+func (t *Table) ClientLeft(now time.Duration, id slot.ID) {
 	req, ok := t.requests.Get(id)
 	if !ok {
 		return
@@ -200,8 +202,8 @@
 	}
 }
 
-// Delay tells how long a message takes now at a server.
-func (t *Table) Delay(now time.Duration, server string, delay time.Duration) {
+// ObserveDelay tells how long a message takes now at a server.
+func (t *Table) ObserveDelay(now time.Duration, server string, delay time.Duration) {
 	t.now = now
 	t.module.ServerDelay(now, server, delay)
 	t.settle()
@@ -214,15 +216,15 @@
 	t.settle()
 }
 
-// Members tells what is new of the host list.
-func (t *Table) Members(now time.Duration, kind policy.MembersKind, entries []policy.Server) {
+// UpdateMembers tells what is new of the host list.
+func (t *Table) UpdateMembers(now time.Duration, kind policy.MembersKind, entries []policy.Server) {
 	t.now = now
 	t.module.Members(now, kind, entries)
 	t.settle()
 }
 
-// Lease tells until when the host list may be used.
-func (t *Table) Lease(now, until time.Duration) {
+// SetLease tells until when the host list may be used.
+func (t *Table) SetLease(now, until time.Duration) {
 	t.now = now
 	t.module.Lease(now, until)
 	t.settle()
--- a/internal/request/table_test.go
+++ b/internal/request/table_test.go
@@ -32,7 +32,7 @@
 	for _, s := range servers {
 		list = append(list, policy.Server{ID: s, State: policy.Ready, Weight: 1})
 	}
-	b.Members(t0, policy.Full, list)
+	b.UpdateMembers(t0, policy.Full, list)
 	return b
 }
 
@@ -63,22 +63,22 @@
 }
 
 func take(b *bench, owner slot.ID) slot.ID {
-	return b.Take(t0, owner, policy.Request{Class: "c", Key: 5, HasKey: true, TTL: time.Second})
+	return b.Submit(t0, owner, policy.Request{Class: "c", Key: 5, HasKey: true, TTL: time.Second})
 }
 
 func TestServedToItsEnd(t *testing.T) {
 	b := newBench("s")
 	id := take(b, 9)
 	assert.Equal(t, []string{"begin 9 s"}, b.takeTold())
-	assert.Equal(t, 1, b.Owed())
-	b.Up(t0, id)
-	assert.Equal(t, 0, b.Owed())
+	assert.Equal(t, 1, b.Unanswered())
+	b.Established(t0, id)
+	assert.Equal(t, 0, b.Unanswered())
 	b.q.Run(t0 + time.Minute)
 	assert.Empty(t, b.takeTold(), "no deadline runs for what stands")
-	b.Ended(t0, id, policy.OK)
+	b.AttemptEnded(t0, id, policy.OK)
 	assert.Zero(t, b.Len())
-	b.Ended(t0, id, policy.OK) // stale
-	b.Left(t0, id)
+	b.AttemptEnded(t0, id, policy.OK) // stale
+	b.ClientLeft(t0, id)
 	assert.Empty(t, b.takeTold())
 }
 
@@ -133,7 +133,7 @@
 	b := newBench("s", "u")
 	id := take(b, 9)
 	b.takeTold()
-	b.Left(t0, id)
+	b.ClientLeft(t0, id)
 	assert.Equal(t, []string{"abandon 9"}, b.takeTold())
 	assert.Zero(t, b.Len())
 	b.q.Run(t0 + time.Minute)
@@ -142,13 +142,13 @@
 
 func TestHandedOverGoesNowhereElse(t *testing.T) {
 	b := newBench("s", "u")
-	id := b.Hand(t0, 9, policy.Request{Class: "c", TTL: time.Second}, "u")
+	id := b.SubmitMidFlow(t0, 9, policy.Request{Class: "c", TTL: time.Second}, "u")
 	assert.Equal(t, []string{"begin 9 u"}, b.takeTold())
-	b.Ended(t0, id, policy.Reset)
+	b.AttemptEnded(t0, id, policy.Reset)
 	assert.Equal(t, []string{"failed 9"}, b.takeTold())
 	assert.Zero(t, b.Len())
 	b.dead["u"] = true
-	b.Hand(t0, 10, policy.Request{Class: "c", TTL: time.Second}, "u")
+	b.SubmitMidFlow(t0, 10, policy.Request{Class: "c", TTL: time.Second}, "u")
 	assert.Equal(t, []string{"begin 10 u", "failed 10"}, b.takeTold())
 }
 
@@ -158,7 +158,7 @@
 	var ids []slot.ID
 	for owner := range slot.ID(4) {
 		ids = append(ids, take(b, owner+1))
-		b.Up(t0, ids[owner])
+		b.Established(t0, ids[owner])
 	}
 	b.takeTold()
 	b.Note(t0, ids[0], policy.MetricDelay, 5000)
@@ -188,24 +188,24 @@
 func TestEachFinalAnswerIsCountedOnce(t *testing.T) {
 	b := newBench("s")
 	up := take(b, 1)
-	b.Up(t0, up)
-	b.Up(t0, up)
-	b.Adopt(policy.Settings{MaxAttempts: 6, Tick: time.Millisecond}) // its class vanishes
-	b.Ended(t0, up, policy.Reset)
-	assert.Equal(t, map[string]counters.Ends{"c": {Completed: 1}}, b.Ends())
-	b.Left(t0, take(b, 2))
+	b.Established(t0, up)
+	b.Established(t0, up)
+	b.Reconfigure(policy.Settings{MaxAttempts: 6, Tick: time.Millisecond}) // its class vanishes
+	b.AttemptEnded(t0, up, policy.Reset)
+	assert.Equal(t, map[string]counters.Ends{"c": {Completed: 1}}, b.AnswerCounts())
+	b.ClientLeft(t0, take(b, 2))
 	refused := take(b, 3)
-	b.Ended(t0, refused, policy.Rejected)
-	b.Left(t0, refused)
-	b.Refused("c")
-	assert.Equal(t, counters.Ends{Completed: 1, Rejected: 2}, b.Ends()["c"])
+	b.AttemptEnded(t0, refused, policy.Rejected)
+	b.ClientLeft(t0, refused)
+	b.CountRejected("c")
+	assert.Equal(t, counters.Ends{Completed: 1, Rejected: 2}, b.AnswerCounts()["c"])
 	spoilt := take(b, 4)
-	b.Spoilt(t0, spoilt)
-	b.Spoilt(t0, spoilt)
-	b.Hand(t0, 5, policy.Request{Class: "d", TTL: time.Second}, "s")
-	b.Ended(t0, b.Hand(t0, 6, policy.Request{Class: "d", TTL: time.Second}, "s"), policy.ConnectFailed)
-	assert.Equal(t, counters.Ends{Completed: 1, Rejected: 2, Failed: 1}, b.Ends()["c"])
-	assert.Equal(t, counters.Ends{Failed: 1}, b.Ends()["d"])
+	b.ProtocolError(t0, spoilt)
+	b.ProtocolError(t0, spoilt)
+	b.SubmitMidFlow(t0, 5, policy.Request{Class: "d", TTL: time.Second}, "s")
+	b.AttemptEnded(t0, b.SubmitMidFlow(t0, 6, policy.Request{Class: "d", TTL: time.Second}, "s"), policy.ConnectFailed)
+	assert.Equal(t, counters.Ends{Completed: 1, Rejected: 2, Failed: 1}, b.AnswerCounts()["c"])
+	assert.Equal(t, counters.Ends{Failed: 1}, b.AnswerCounts()["d"])
 }
 
 // What stood in another process of this balancer counts here as ours, and no more there; its answer was counted there.
@@ -214,16 +214,16 @@
 	id := take(old, 1)
 	old.Release(t0, id)
 	assert.Equal(t, 1, old.Len(), "nothing stands yet")
-	old.Up(t0, id)
+	old.Established(t0, id)
 	old.Release(t0, id)
 	old.Release(t0, id)
 	assert.Zero(t, old.Len())
 	id = b.Inherit(t0, 7, policy.Request{ID: "x", Class: "c", Key: 5, HasKey: true}, "s")
 	assert.Equal(t, 1, b.Len())
-	assert.Zero(t, b.Owed())
-	assert.True(t, b.Open("x"))
-	assert.Empty(t, b.Ends())
-	b.Ended(t0, id, policy.OK)
+	assert.Zero(t, b.Unanswered())
+	assert.True(t, b.IsOpen("x"))
+	assert.Empty(t, b.AnswerCounts())
+	b.AttemptEnded(t0, id, policy.OK)
 	assert.Zero(t, b.Len())
 	assert.Empty(t, b.takeTold())
 }
