--- a/internal/net/delay.go
+++ b/internal/net/delay.go
@@ -42,7 +42,7 @@
 // size takes how many desk hosts are listed, and tells it.
 func (s *delays) size(n *Node, now time.Duration) (listed int) {
 	listed, _ = n.table.MemberCounts(now)
-	s.many = scale.Many(n.cfg.Settings.Policy.Siblings, listed)
+	s.many = scale.IsLargeFleet(n.cfg.Settings.Policy.Siblings, listed)
 	return listed
 }
 
@@ -106,7 +106,7 @@
 		standing += l.report.open
 	}
 	listed := s.size(n, now)
-	spread := scale.Spread(n.cfg.Settings.Policy.Siblings, standing, listed)
+	spread := scale.IntervalFactor(n.cfg.Settings.Policy.Siblings, standing, listed)
 	for _, server := range slices.Sorted(maps.Keys(s.lags)) {
 		l := s.lags[server]
 		if !l.seen && !l.report.crowded(now) && !l.told && !l.probe.asking() {
--- a/policy/request.go
+++ b/policy/request.go
@@ -8,7 +8,7 @@
 
 func (b *Balancer) Request(now time.Duration, q Request) { // takes a client's request
 	b.taken = append(b.within(now+1, b.taken), now)
-	b.rush.Take(now, b.set.OverloadSpan)
+	b.rush.Add(now, b.set.OverloadSpan)
 	b.place(now, b.admit(now, q))
 }
 
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -139,7 +139,7 @@
 		}
 		return yes
 	}
-	b.rush.Take(t0, b.set.OverloadSpan)
+	b.rush.Add(t0, b.set.OverloadSpan)
 	rare, popular := chances(3, 1), chances(3, 60)
 	assert.Zero(t, chances(9, 1), "beyond the ranks that count")
 	assert.Positive(t, rare)
--- a/policy/state.go
+++ b/policy/state.go
@@ -35,10 +35,10 @@
 	// how many of our connections a warm server holds, and as of when
 	usualOpen float64
 	usualAt   time.Duration
-	rush      scale.Rush     // of requests taken
-	roomAt    time.Duration  // when a cold server was last sent one beyond its budget
-	keys      map[uint32]int // requests by the hash of their key
-	seen      int            // all of them
+	rush      scale.RateEstimator // of requests taken
+	roomAt    time.Duration       // when a cold server was last sent one beyond its budget
+	keys      map[uint32]int      // requests by the hash of their key
+	seen      int                 // all of them
 	// the last span of the budget of attempts: when requests were taken, when further attempts were made
 	taken, again []time.Duration
 }
--- a/policy/walk.go
+++ b/policy/walk.go
@@ -134,7 +134,7 @@
 }
 
 // many: more balancers than servers. Own counts tell nothing, top servers tie, all fill the first: drawn.
-func (b *Balancer) many() bool { return scale.Many(b.set.Siblings, len(b.list)) }
+func (b *Balancer) many() bool { return scale.IsLargeFleet(b.set.Siblings, len(b.list)) }
 
 func (b *Balancer) informed() bool { return b.many() && b.set.Probes } // by the reports that it asks for
 
