--- a/internal/net/wallclock.go
+++ b/internal/net/wallclock.go
@@ -12,13 +12,13 @@
 // clock moves; but the list of desk hosts tells their starts by the wall clock, and so do records.
 type wall struct {
 	clock  *wallclock.Clock
-	starts *wallclock.Starts
+	starts *wallclock.StartTimes
 	ahead  func() time.Duration // of the node's clock, by steps since the process started
 }
 
 func newWall(origin time.Time) wall {
 	clock := wallclock.New(time.Duration(origin.UnixNano()))
-	return wall{clock: clock, starts: wallclock.NewStarts(clock), ahead: func() time.Duration { return aheadOf(origin) }}
+	return wall{clock: clock, starts: wallclock.NewStartTimes(clock), ahead: func() time.Duration { return aheadOf(origin) }}
 }
 
 // aheadOf takes both clocks from one reading: between two the process may be held up.
@@ -29,7 +29,7 @@
 
 // lookAtWallClock notices a step.
 func (n *Node) lookAtWallClock(now time.Duration) {
-	if step := n.wall.clock.Look(now, n.wall.ahead()); step != 0 {
+	if step := n.wall.clock.Observe(now, n.wall.ahead()); step != 0 {
 		n.count.Add("wall clock steps")
 		n.log.Warn("wall-clock-stepped", "by", step)
 	}
@@ -51,7 +51,7 @@
 		servers[i].Started = n.wall.starts.At(now, s.ID, s.Started)
 	}
 	if kind != policy.Delta {
-		n.wall.starts.Keep(func(host string) bool { return listed[host] })
+		n.wall.starts.RetainOnly(func(host string) bool { return listed[host] })
 	}
 	return servers
 }
@@ -61,5 +61,5 @@
 	if moment <= 0 {
 		return 0
 	}
-	return n.wall.clock.Wall(moment).Milliseconds()
+	return n.wall.clock.WallTime(moment).Milliseconds()
 }
--- a/internal/wallclock/starts.go
+++ b/internal/wallclock/starts.go
@@ -2,20 +2,22 @@
 
 import "time"
 
-// Starts tells when hosts have started, of which a list tells the wall clock's reading. One reading of a host keeps its
+// StartTimes tells when hosts have started, of which a list tells the wall clock's reading. One reading of a host keeps its
 // moment, whatever steps follow: another moment would be another start.
-type Starts struct {
+type StartTimes struct {
 	clock *Clock
 	known map[string]start
 }
 
 type start struct{ reading, moment time.Duration }
 
-// NewStarts makes one that knows of no host.
-func NewStarts(clock *Clock) *Starts { return &Starts{clock: clock, known: map[string]start{}} }
+// NewStartTimes makes one that knows of no host.
+func NewStartTimes(clock *Clock) *StartTimes {
+	return &StartTimes{clock: clock, known: map[string]start{}}
+}
 
 // At is when a host started that is listed with a reading; 0 stays 0, which is long ago.
-func (s *Starts) At(now time.Duration, host string, reading time.Duration) time.Duration {
+func (s *StartTimes) At(now time.Duration, host string, reading time.Duration) time.Duration {
 	if reading <= 0 {
 		return reading
 	}
@@ -28,10 +30,10 @@
 }
 
 // Forget takes that a host is no longer listed.
-func (s *Starts) Forget(host string) { delete(s.known, host) }
+func (s *StartTimes) Forget(host string) { delete(s.known, host) }
 
-// Keep forgets all hosts but those that are listed.
-func (s *Starts) Keep(listed func(host string) bool) {
+// RetainOnly forgets all hosts but those that are listed.
+func (s *StartTimes) RetainOnly(listed func(host string) bool) {
 	for host := range s.known {
 		if !listed(host) {
 			delete(s.known, host)
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -37,8 +37,8 @@
 	return &Clock{eras: []era{{from: earliest, to: latest}}, looked: now}
 }
 
-// Look takes by how much the wall clock is ahead now, and tells by how much it was stepped since the last look.
-func (c *Clock) Look(now, ahead time.Duration) (step time.Duration) {
+// Observe takes by how much the wall clock is ahead now, and tells by how much it was stepped since the last look.
+func (c *Clock) Observe(now, ahead time.Duration) (step time.Duration) {
 	last := &c.eras[len(c.eras)-1]
 	if step = ahead - last.ahead; step.Abs() < leastStep {
 		c.looked = now
@@ -53,8 +53,8 @@
 	return step
 }
 
-// Wall is the wall clock's reading as of the last look.
-func (c *Clock) Wall(now time.Duration) time.Duration { return now + c.eras[len(c.eras)-1].ahead }
+// WallTime is the wall clock's reading as of the last look.
+func (c *Clock) WallTime(now time.Duration) time.Duration { return now + c.eras[len(c.eras)-1].ahead }
 
 // Moment is the latest moment up to now at which the wall clock may have shown a reading; where it has never shown it, now.
 // A step back makes it show some readings twice, and what began then is never taken to be older than it is.
--- a/internal/wallclock/wallclock_test.go
+++ b/internal/wallclock/wallclock_test.go
@@ -45,9 +45,9 @@
 func (s *stepped) watched(now time.Duration) *Clock {
 	c := New(begin)
 	for at := begin; at < now; at += 250 * time.Millisecond {
-		c.Look(at, s.aheadAt(at))
+		c.Observe(at, s.aheadAt(at))
 	}
-	c.Look(now, s.aheadAt(now))
+	c.Observe(now, s.aheadAt(now))
 	return c
 }
 
@@ -83,7 +83,7 @@
 		wall := draw(t)
 		started := begin - time.Duration(rapid.IntRange(0, 3600).Draw(t, "before"))*time.Second
 		now := begin + time.Duration(rapid.IntRange(0, 400_000).Draw(t, "told"))*time.Millisecond
-		starts := NewStarts(New(begin))
+		starts := NewStartTimes(New(begin))
 		assert.Equal(t, started, starts.At(begin, "h", started))
 		starts.clock = wall.watched(now)
 		assert.Equal(t, started, starts.At(now, "h", started))
@@ -106,10 +106,10 @@
 	} {
 		t.Run(name, func(t *testing.T) {
 			clock := New(begin)
-			clock.Look(now-30*time.Second, 0)
-			assert.Equal(t, c.step, clock.Look(now-30*time.Second, c.step))
+			clock.Observe(now-30*time.Second, 0)
+			assert.Equal(t, c.step, clock.Observe(now-30*time.Second, c.step))
 			assert.Equal(t, c.want, clock.Moment(now, c.reading))
-			assert.Equal(t, now+c.step, clock.Wall(now))
+			assert.Equal(t, now+c.step, clock.WallTime(now))
 		})
 	}
 }
@@ -118,23 +118,23 @@
 func TestManySteps(t *testing.T) {
 	c := New(begin)
 	for i := range time.Duration(10_000) {
-		assert.Zero(t, c.Look(begin+i*time.Second, i%2*50*time.Millisecond))
+		assert.Zero(t, c.Observe(begin+i*time.Second, i%2*50*time.Millisecond))
 	}
 	assert.Len(t, c.eras, 1)
 	for i := range time.Duration(10_000) {
-		c.Look(begin+i*time.Second, i*time.Second)
+		c.Observe(begin+i*time.Second, i*time.Second)
 	}
 	assert.Len(t, c.eras, mostEras)
 	assert.Equal(t, begin-time.Hour, c.Moment(begin+10_000*time.Second, begin-time.Hour))
 }
 
 func TestStartsAreForgotten(t *testing.T) {
-	s := NewStarts(New(begin))
+	s := NewStartTimes(New(begin))
 	for _, host := range []string{"a", "b", "c"} {
 		assert.Equal(t, begin-time.Second, s.At(begin, host, begin-time.Second))
 	}
 	assert.Zero(t, s.At(begin, "d", 0))
 	s.Forget("a")
-	s.Keep(func(host string) bool { return host == "b" })
+	s.RetainOnly(func(host string) bool { return host == "b" })
 	assert.Len(t, s.known, 1)
 }
