--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -19,16 +19,16 @@
 
 // The calls.
 const (
-	Health = "/admin/health"
-	Stats  = "/admin/stats"
+	HealthPath = "/admin/health"
+	StatsPath  = "/admin/stats"
 )
 
 // mostHead bounds the head of a call. Danger: one without an end would fill the memory.
 const mostHead = 4 << 10
 
-// Parse reads a call. The status is 0 while its head is not whole, 200 for one of the calls, else what is wrong
+// ParseRequest reads a call. The status is 0 while its head is not whole, 200 for one of the calls, else what is wrong
 // with it. A body is not waited for: no call here has one.
-func Parse(buf []byte) (path string, status int) {
+func ParseRequest(buf []byte) (path string, status int) {
 	end := bytes.Index(buf, []byte("\r\n\r\n"))
 	switch {
 	case end > mostHead || end < 0 && len(buf) > mostHead:
@@ -40,7 +40,7 @@
 	switch {
 	case err != nil || call.ProtoMajor != 1 || call.ProtoAtLeast(1, 1) && call.Host == "":
 		return "", http.StatusBadRequest
-	case call.URL.Path != Health && call.URL.Path != Stats:
+	case call.URL.Path != HealthPath && call.URL.Path != StatsPath:
 		return "", http.StatusNotFound
 	case call.Method != http.MethodGet:
 		return "", http.StatusMethodNotAllowed
@@ -48,8 +48,8 @@
 	return call.URL.Path, http.StatusOK
 }
 
-// Answer writes an answer, after which the connection ends.
-func Answer(status int, body string) []byte {
+// Response writes an answer, after which the connection ends.
+func Response(status int, body string) []byte {
 	var allow string
 	if status == http.StatusMethodNotAllowed {
 		allow = "Allow: GET\r\n"
@@ -58,31 +58,31 @@
 		"Connection: close\r\n\r\n%s", status, http.StatusText(status), allow, len(body), body)
 }
 
-// Figures are what the operators read. Those of classes that are no longer in use stay: a count never goes back.
-type Figures struct {
-	Classes              map[string]counters.Ends
-	Attempts             int64 // written whole to desk hosts
-	Pending              int
-	Members, Unavailable int
-	Reloads, Refused     int64 // configurations taken in and turned down
-	List                 List
-	Cells                []Cell
-	Plan                 *placement.Figures // nil: no plan
+// Metrics are what the operators read. Those of classes that are no longer in use stay: a count never goes back.
+type Metrics struct {
+	Classes               map[string]counters.Ends
+	Attempts              int64 // written whole to desk hosts
+	Pending               int
+	Members, Unavailable  int
+	Reloads, ReloadErrors int64 // configurations taken in and turned down
+	HostList              HostListMetrics
+	Cells                 []CellMetrics
+	Plan                  *placement.Figures // nil: no plan
 }
 
-// List is the figures of the host list.
-type List struct {
-	Revision      int64
-	Unheard       time.Duration // since discovery last answered
-	Calls, Failed int64
-	NotWritten    int64 // attempts that the gate before the first byte held back
+// HostListMetrics is the figures of the host list.
+type HostListMetrics struct {
+	Revision           int64
+	SinceAnswer        time.Duration // since discovery last answered
+	Calls, FailedCalls int64
+	AttemptsNotWritten int64 // attempts that the gate before the first byte held back
 }
 
-// Cell is the figures of one cell.
-type Cell cells.Figures
+// CellMetrics is the figures of one cell.
+type CellMetrics cells.Figures
 
 // Text writes the figures, one a line, classes in order of their names.
-func (f Figures) Text() string {
+func (f Metrics) Text() string {
 	var b strings.Builder
 	for _, class := range slices.Sorted(maps.Keys(f.Classes)) {
 		e := f.Classes[class]
@@ -91,10 +91,10 @@
 	}
 	fmt.Fprintf(&b, "svc.upstream_requests:%d|c\nsvc.pending:%d|g\nsvc.members:%d|g\nsvc.members_unavailable:%d|g\n"+
 		"svc.config_reloads:%d|c\nsvc.config_reload_errors:%d|c\n",
-		f.Attempts, f.Pending, f.Members, f.Unavailable, f.Reloads, f.Refused)
+		f.Attempts, f.Pending, f.Members, f.Unavailable, f.Reloads, f.ReloadErrors)
 	fmt.Fprintf(&b, "svc.list.revision:%d|g\nsvc.list.unheard_ms:%d|g\nsvc.list.calls:%d|c\nsvc.list.calls_failed:%d|c\n"+
 		"svc.list.attempts_not_written:%d|c\n",
-		f.List.Revision, f.List.Unheard.Milliseconds(), f.List.Calls, f.List.Failed, f.List.NotWritten)
+		f.HostList.Revision, f.HostList.SinceAnswer.Milliseconds(), f.HostList.Calls, f.HostList.FailedCalls, f.HostList.AttemptsNotWritten)
 	for _, c := range f.Cells {
 		fmt.Fprintf(&b, "svc.cells.%[1]s.connections:%[2]d|g\nsvc.cells.%[1]s.guests:%[3]d|g\nsvc.cells.%[1]s.members:%[4]d|g\n"+
 			"svc.cells.%[1]s.members_usable:%[5]d|g\nsvc.cells.%[1]s.moves_left:%[6]d|g\nsvc.cells.%[1]s.moved:%[7]d|c\n"+
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -32,13 +32,13 @@
 
 func TestParse(t *testing.T) {
 	for text, want := range calls {
-		_, status := Parse([]byte(text))
+		_, status := ParseRequest([]byte(text))
 		assert.Equal(t, want, status, "%.60q", text)
 	}
 }
 
 func TestAnswer(t *testing.T) {
-	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(Answer(http.StatusMethodNotAllowed, "no\n"))), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(Response(http.StatusMethodNotAllowed, "no\n"))), nil)
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
 	require.NoError(t, err)
@@ -48,9 +48,9 @@
 }
 
 func TestFigures(t *testing.T) {
-	f := Figures{Classes: map[string]counters.Ends{"b": {}, "a": {Completed: 812, Rejected: 2, Failed: 1}}, Attempts: 900, Pending: 14,
-		Members: 5, Unavailable: 1, Reloads: 3, Refused: 4,
-		List: List{Revision: 41, Unheard: 1500 * time.Millisecond, Calls: 7, Failed: 2, NotWritten: 5}}
+	f := Metrics{Classes: map[string]counters.Ends{"b": {}, "a": {Completed: 812, Rejected: 2, Failed: 1}}, Attempts: 900, Pending: 14,
+		Members: 5, Unavailable: 1, Reloads: 3, ReloadErrors: 4,
+		HostList: HostListMetrics{Revision: 41, SinceAnswer: 1500 * time.Millisecond, Calls: 7, FailedCalls: 2, AttemptsNotWritten: 5}}
 	assert.Equal(t, `svc.downstream_requests.a.completed:812|c
 svc.downstream_requests.a.rejected:2|c
 svc.downstream_requests.a.failed:1|c
@@ -76,7 +76,7 @@
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
-		path, status := Parse(raw)
+		path, status := ParseRequest(raw)
 		assert.Equal(t, status == http.StatusOK, path != "")
 		if status == 0 { // no call may wait for ever
 			assert.LessOrEqual(t, len(raw), mostHead)
--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -49,21 +49,21 @@
 		return
 	}
 	buf, _ := c.conn.Peek(-1)
-	path, status := admin.Parse(buf)
+	path, status := admin.ParseRequest(buf)
 	if status == 0 {
 		return
 	}
 	body := http.StatusText(status) + "\n"
 	switch path {
-	case admin.Stats:
+	case admin.StatsPath:
 		body = c.node.figures(now).Text()
-	case admin.Health:
+	case admin.HealthPath:
 		if reason := c.node.unready(); reason != "" {
 			status, body = http.StatusServiceUnavailable, reason+"\n"
 		}
 	}
 	c.answered = true
-	c.node.write(c.conn, admin.Answer(status, body))
+	c.node.write(c.conn, admin.Response(status, body))
 	if c.conn == nil {
 		return
 	}
@@ -97,19 +97,19 @@
 }
 
 // figures are made at each call.
-func (n *Node) figures(now time.Duration) admin.Figures {
+func (n *Node) figures(now time.Duration) admin.Metrics {
 	ends := n.table.AnswerCounts()
 	for class := range n.cfg.Settings.Policy.Classes {
 		ends[class] = ends[class] // also those that nobody has asked for yet
 	}
-	f := admin.Figures{Classes: ends, Attempts: n.count["attempts written"], Pending: n.table.Len(),
-		Reloads: n.count["configurations taken in"], Refused: n.count["configurations refused"]}
+	f := admin.Metrics{Classes: ends, Attempts: n.count["attempts written"], Pending: n.table.Len(),
+		Reloads: n.count["configurations taken in"], ReloadErrors: n.count["configurations refused"]}
 	f.Members, f.Unavailable = n.table.MemberCounts(now)
-	f.List = admin.List{Revision: n.watch.status.revision, Unheard: n.watch.unheard(now), Calls: n.count["discovery calls"],
-		Failed: n.count["discovery calls failed"], NotWritten: n.count["attempts not written: no longer allowed"]}
+	f.HostList = admin.HostListMetrics{Revision: n.watch.status.revision, SinceAnswer: n.watch.unheard(now), Calls: n.count["discovery calls"],
+		FailedCalls: n.count["discovery calls failed"], AttemptsNotWritten: n.count["attempts not written: no longer allowed"]}
 	f.Plan = n.weigher.Figures(now)
 	for _, c := range n.fleet.Figures(now) {
-		f.Cells = append(f.Cells, admin.Cell(c))
+		f.Cells = append(f.Cells, admin.CellMetrics(c))
 	}
 	return f
 }
