--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -60,7 +60,7 @@
 
 // Metrics are what the operators read. Those of classes that are no longer in use stay: a count never goes back.
 type Metrics struct {
-	Classes               map[string]counters.Ends
+	Classes               map[string]counters.Outcomes
 	Attempts              int64 // written whole to desk hosts
 	Pending               int
 	Members, Unavailable  int
--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -48,7 +48,7 @@
 }
 
 func TestFigures(t *testing.T) {
-	f := Metrics{Classes: map[string]counters.Ends{"b": {}, "a": {Completed: 812, Rejected: 2, Failed: 1}}, Attempts: 900, Pending: 14,
+	f := Metrics{Classes: map[string]counters.Outcomes{"b": {}, "a": {Completed: 812, Rejected: 2, Failed: 1}}, Attempts: 900, Pending: 14,
 		Members: 5, Unavailable: 1, Reloads: 3, ReloadErrors: 4,
 		HostList: HostListMetrics{Revision: 41, SinceAnswer: 1500 * time.Millisecond, Calls: 7, FailedCalls: 2, AttemptsNotWritten: 5}}
 	assert.Equal(t, `svc.downstream_requests.a.completed:812|c
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -11,8 +11,8 @@
 // Set counts by name. It belongs to the event loop.
 type Set map[string]int64
 
-// Ends counts how requests of a class have ended: brought up, refused, failed.
-type Ends struct{ Completed, Rejected, Failed int64 }
+// Outcomes counts how requests of a class have ended: brought up, refused, failed.
+type Outcomes struct{ Completed, Rejected, Failed int64 }
 
 // Add counts one.
 func (s Set) Add(name string) { s[name]++ }
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -61,7 +61,7 @@
 	count     counters.Set
 	requests  slot.Table[*request]
 	open      map[string]slot.ID // by the client's id
-	ends      map[string]counters.Ends
+	ends      map[string]counters.Outcomes
 	queue     []func(now time.Duration)
 	now       time.Duration
 }
@@ -82,7 +82,7 @@
 // New makes an empty table with a module that starts from nothing.
 func New(module func(policy.Host) Module, carrier Transport, q *deadline.Queue, count counters.Set) *Table {
 	t := &Table{carrier: carrier, deadlines: q, count: count, open: map[string]slot.ID{},
-		ends: map[string]counters.Ends{}}
+		ends: map[string]counters.Outcomes{}}
 	t.module = module(host{t})
 	return t
 }
@@ -101,7 +101,7 @@
 func (t *Table) Len() int { return t.requests.Len() }
 
 // AnswerCounts counts the final answers by class, also of classes that are no longer in use.
-func (t *Table) AnswerCounts() map[string]counters.Ends { return maps.Clone(t.ends) }
+func (t *Table) AnswerCounts() map[string]counters.Outcomes { return maps.Clone(t.ends) }
 
 // MemberCounts is how many servers the list names, and how many of them the module avoids now.
 func (t *Table) MemberCounts(now time.Duration) (listed, avoided int) {
--- a/internal/request/table_test.go
+++ b/internal/request/table_test.go
@@ -192,20 +192,20 @@
 	b.Established(t0, up)
 	b.Reconfigure(policy.Settings{MaxAttempts: 6, Tick: time.Millisecond}) // its class vanishes
 	b.AttemptEnded(t0, up, policy.Reset)
-	assert.Equal(t, map[string]counters.Ends{"c": {Completed: 1}}, b.AnswerCounts())
+	assert.Equal(t, map[string]counters.Outcomes{"c": {Completed: 1}}, b.AnswerCounts())
 	b.ClientLeft(t0, take(b, 2))
 	refused := take(b, 3)
 	b.AttemptEnded(t0, refused, policy.Rejected)
 	b.ClientLeft(t0, refused)
 	b.CountRejected("c")
-	assert.Equal(t, counters.Ends{Completed: 1, Rejected: 2}, b.AnswerCounts()["c"])
+	assert.Equal(t, counters.Outcomes{Completed: 1, Rejected: 2}, b.AnswerCounts()["c"])
 	spoilt := take(b, 4)
 	b.ProtocolError(t0, spoilt)
 	b.ProtocolError(t0, spoilt)
 	b.SubmitMidFlow(t0, 5, policy.Request{Class: "d", TTL: time.Second}, "s")
 	b.AttemptEnded(t0, b.SubmitMidFlow(t0, 6, policy.Request{Class: "d", TTL: time.Second}, "s"), policy.ConnectFailed)
-	assert.Equal(t, counters.Ends{Completed: 1, Rejected: 2, Failed: 1}, b.AnswerCounts()["c"])
-	assert.Equal(t, counters.Ends{Failed: 1}, b.AnswerCounts()["d"])
+	assert.Equal(t, counters.Outcomes{Completed: 1, Rejected: 2, Failed: 1}, b.AnswerCounts()["c"])
+	assert.Equal(t, counters.Outcomes{Failed: 1}, b.AnswerCounts()["d"])
 }
 
 // What stood in another process of this balancer counts here as ours, and no more there; its answer was counted there.
