--- a/cmd/tealtiller/main.go
+++ b/cmd/tealtiller/main.go
@@ -80,14 +80,14 @@
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
 	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT) // danger: behind others it would wait, or find no place and be lost
 	source := settings.NewSource(os.Getenv)
-	load := func() (t net.Terms, err error) {
+	load := func() (t net.NodeConfig, err error) {
 		// The operator's file first: a configuration that was read counts as taken.
 		if s.Operator != "" {
 			file, err := operator.Load(s.Operator)
 			if err != nil {
 				return t, err
 			}
-			t.Plan, t.Placement, t.Failover = file.Cells, file.Placement, file.Failover
+			t.CellPlan, t.Placement, t.Failover = file.Cells, file.Placement, file.Failover
 		}
 		t.Config, err = source.Load()
 		return t, err
@@ -116,7 +116,7 @@
 			if s == syscall.SIGHUP {
 				node.Reload(load)
 			} else {
-				node.Report()
+				node.DumpMetrics()
 			}
 		}
 	}()
--- a/internal/net/node.go
+++ b/internal/net/node.go
@@ -29,10 +29,10 @@
 	"tealtiller/policy"
 )
 
-// Terms are what a node works by: the platform's configuration, and what the operator's own file adds to it.
-type Terms struct {
+// NodeConfig are what a node works by: the platform's configuration, and what the operator's own file adds to it.
+type NodeConfig struct {
 	settings.Config
-	Plan      *cells.Plan // nil: no cells
+	CellPlan  *cells.Plan // nil: no cells
 	Placement operator.Placement
 	Failover  *failover.Settings // nil: no zone shares
 }
@@ -40,7 +40,7 @@
 // Node is one balancer. Its gnet callbacks and all its methods but Run, Reload, Drain and Report belong to the loop.
 type Node struct {
 	gnet.BuiltinEventEngine
-	cfg         Terms
+	cfg         NodeConfig
 	log         *slog.Logger
 	tracing     bool // the log takes in what trace tells
 	known       *discovery.List
@@ -103,7 +103,7 @@
 
 // NewNode makes a balancer that writes its counters to out. In the folder it meets the process that served before
 // it, or the one that comes after it; there may be none.
-func NewNode(cfg Terms, known *discovery.List, out io.Writer, folder string, log *slog.Logger) *Node {
+func NewNode(cfg NodeConfig, known *discovery.List, out io.Writer, folder string, log *slog.Logger) *Node {
 	n := &Node{cfg: cfg, log: log.With("balancer", cfg.Name), known: known, out: out, folder: folder, leading: true,
 		origin: time.Now(), count: counters.Set{}, addresses: map[string]netip.AddrPort{},
 		booted: make(chan struct{}), stopped: make(chan struct{}), silence: silence,
@@ -158,7 +158,7 @@
 	n.do(func(now time.Duration) {
 		n.began = now
 		n.table = request.New(func(h policy.Host) request.Module {
-			n.fleet = cells.New(n.cfg.Settings.Policy, n.cfg.Seed, h, n.cfg.Plan)
+			n.fleet = cells.New(n.cfg.Settings.Policy, n.cfg.Seed, h, n.cfg.CellPlan)
 			return n.fleet
 		}, carrier{n}, &n.deadlines, n.count)
 		n.weigher = placement.NewWeigher(n.cfg.Placement.Plan, n.cfg.Settings.Policy.Zone)
@@ -176,7 +176,7 @@
 		n.reweigh(now)
 		n.delays.next(n, now)
 		n.recorder.turn(n, now)
-		n.log.Info("ready", "listen", n.cfg.Listen, "hosts", len(n.known.Members), "cells", n.cfg.Plan.Len())
+		n.log.Info("ready", "listen", n.cfg.Listen, "hosts", len(n.known.Members), "cells", n.cfg.CellPlan.Len())
 	})
 }
 
@@ -217,8 +217,8 @@
 	}
 }
 
-// Report prints the counters; it may be called from any goroutine.
-func (n *Node) Report() {
+// DumpMetrics prints the counters; it may be called from any goroutine.
+func (n *Node) DumpMetrics() {
 	<-n.booted
 	done := make(chan struct{})
 	n.post(func(time.Duration) {
--- a/internal/net/reload.go
+++ b/internal/net/reload.go
@@ -7,7 +7,7 @@
 )
 
 // adopt takes a configuration as the one in force.
-func (n *Node) adopt(cfg Terms) {
+func (n *Node) adopt(cfg NodeConfig) {
 	n.cfg = cfg
 	n.watch.configure(cfg.Settings.Policy)
 	n.delays.aims(cfg.Settings.Policy)
@@ -16,7 +16,7 @@
 
 // Reload takes in a configuration that has been replaced; it may be called from any goroutine but the loop, on
 // which nothing is read. One that makes no sense changes nothing.
-func (n *Node) Reload(load func() (Terms, error)) {
+func (n *Node) Reload(load func() (NodeConfig, error)) {
 	<-n.booted
 	cfg, err := load()
 	if err == nil && len(cfg.Known) > 0 {
@@ -33,16 +33,16 @@
 }
 
 // reloaded swaps in what has changed. Requests, the list and all that is known of hosts stay.
-func (n *Node) reloaded(cfg Terms) {
+func (n *Node) reloaded(cfg NodeConfig) {
 	n.count.Add("configurations taken in")
-	n.log.Info("configuration-taken", "discovery", cfg.Discovery, "cells", cfg.Plan.Len())
+	n.log.Info("configuration-taken", "discovery", cfg.Discovery, "cells", cfg.CellPlan.Len())
 	if cfg.Listen != n.cfg.Listen || cfg.Admin != n.cfg.Admin || cfg.Name != n.cfg.Name {
 		n.log.Warn("restart-needed", "reason", "another name or listening address")
 		cfg.Listen, cfg.Admin, cfg.Name = n.cfg.Listen, n.cfg.Admin, n.cfg.Name
 	}
 	n.adopt(cfg)
 	n.table.Reconfigure(cfg.Settings.Policy)
-	n.table.CallModule(n.now(), func() { n.fleet.Replan(n.now(), cfg.Plan) })
+	n.table.CallModule(n.now(), func() { n.fleet.Replan(n.now(), cfg.CellPlan) })
 	n.reweigh(n.now())
 	n.recorder.turn(n, n.now())
 	n.turnZones(n.now())
--- a/internal/net/rig_test.go
+++ b/internal/net/rig_test.go
@@ -145,7 +145,7 @@
 }
 
 // load reads the configuration, and the operator's file where the scenario has one.
-func (r *rig) load() (t Terms, err error) {
+func (r *rig) load() (t NodeConfig, err error) {
 	if text := r.set["cells"]; text != "" {
 		if plan, ok := r.set["plan"]; ok {
 			if err := os.WriteFile(filepath.Join(r.folder, "plan.json"), []byte(plan), 0o600); err != nil {
@@ -156,7 +156,7 @@
 		if err != nil {
 			return t, err
 		}
-		t.Plan, t.Placement, t.Failover = file.Cells, file.Placement, file.Failover
+		t.CellPlan, t.Placement, t.Failover = file.Cells, file.Placement, file.Failover
 	}
 	t.Config, err = r.source.Load()
 	return t, err
