--- a/cmd/tealtiller/check.go
+++ b/cmd/tealtiller/check.go
@@ -52,7 +52,7 @@
 	if err != nil {
 		return err
 	}
-	if file.Cells.Len() == 0 {
+	if file.Cells.CellCount() == 0 {
 		return fmt.Errorf("%s: it has no cells", c.File)
 	}
 	raw, err := readAll(c.List)
@@ -80,7 +80,7 @@
 func printCells(out io.Writer, plan *cells.Plan, list *discovery.List, at time.Time) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	dealt := plan.Deal(list.Servers())
+	dealt := plan.AssignHosts(list.Servers())
 	for _, c := range plan.Cells {
 		var hosts []string
 		count, size, rooms := 0, 0.0, map[string]int{}
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -79,7 +79,7 @@
 }
 
 // CellMetrics is the figures of one cell.
-type CellMetrics cells.Figures
+type CellMetrics cells.Stats
 
 // Text writes the figures, one a line, classes in order of their names.
 func (f Metrics) Text() string {
@@ -100,7 +100,7 @@
 			"svc.cells.%[1]s.members_usable:%[5]d|g\nsvc.cells.%[1]s.moves_left:%[6]d|g\nsvc.cells.%[1]s.moved:%[7]d|c\n"+
 			"svc.cells.%[1]s.rejected_full:%[8]d|c\nsvc.cells.%[1]s.rejected_too_fast:%[9]d|c\nsvc.cells.%[1]s.rejected_no_member:%[10]d|c\n"+
 			"svc.cells.%[1]s.rejected:%[11]d|c\nsvc.cells.%[1]s.overflowed:%[12]d|c\n",
-			c.Name, c.Open, c.Guests, c.Hosts, c.Usable, c.MovesLeft, c.Moved, c.Full, c.TooFast, c.NoHost, c.Counts.Refused, c.Overflowed)
+			c.Name, c.Connections, c.Guests, c.Hosts, c.UsableHosts, c.PendingMoves, c.MovesSent, c.RefusedFull, c.RefusedTooFast, c.RefusedNoHost, c.Counts.RefusedByPolicy, c.Overflowed)
 	}
 	if p := f.Plan; p != nil {
 		fmt.Fprintf(&b, "svc.plan.force_percent:%.0f|g\nsvc.plan.age_s:%.0f|g\nsvc.plan.members_known:%d|g\nsvc.plan.members_unknown:%d|g\n"+
--- a/internal/cells/admission.go
+++ b/internal/cells/admission.go
@@ -55,7 +55,7 @@
 func (f *Fleet) follow(a, b string) time.Duration {
 	for _, m := range f.plan.Moves {
 		if m.From == a && m.To == b || m.From == b && m.To == a {
-			return time.Duration(float64(m.Span) * (1 - crossing))
+			return time.Duration(float64(m.Duration) * (1 - crossing))
 		}
 	}
 	return 0
@@ -65,14 +65,14 @@
 func (f *Fleet) refusal(now time.Duration, c *cell) (wait time.Duration, why *int64) {
 	switch {
 	case c.hosts == 0 && !f.set.GoneServersUsable: // else the module may know better than the list
-		return f.away(), &c.count.NoHost
-	case c.limits.Connections > 0 && c.open >= f.part(c.limits.Connections):
-		return f.away(), &c.count.Full
-	case c.limits.OpensPerSecond > 0:
+		return f.away(), &c.count.RefusedNoHost
+	case c.limits.MaxConnections > 0 && c.open >= f.part(c.limits.MaxConnections):
+		return f.away(), &c.count.RefusedFull
+	case c.limits.MaxOpensPerSecond > 0:
 		if wait := c.due - now; wait > 0 {
-			return wait, &c.count.TooFast
+			return wait, &c.count.RefusedTooFast
 		}
-		each := time.Duration(float64(time.Second) * float64(f.siblings()) / c.limits.OpensPerSecond)
+		each := time.Duration(float64(time.Second) * float64(f.siblings()) / c.limits.MaxOpensPerSecond)
 		c.due = max(c.due+each, now+2*each-max(time.Second, each)) // a second's worth may come at once
 	}
 	return 0, nil
@@ -104,7 +104,7 @@
 		return nil
 	}
 	to := f.named(from.limits.OverflowTo)
-	if to.guests >= f.part(to.limits.Guests) || to.limits.Guests == 0 {
+	if to.guests >= f.part(to.limits.MaxGuests) || to.limits.MaxGuests == 0 {
 		return nil
 	}
 	if wait, _ := f.refusal(now, to); wait > 0 {
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -32,8 +32,8 @@
 	shareTolerance = 1e-9 // by which rounding may take the sum of all shares over 1
 )
 
-// Check tells everything that is wrong with a plan.
-func (p *Plan) Check() (all []Problem) {
+// Validate tells everything that is wrong with a plan.
+func (p *Plan) Validate() (all []Problem) {
 	if len(p.Cells) == 0 {
 		if len(p.Moves) > 0 {
 			all = append(all, Problem{"move", p.Moves[0].Carrier, "", "there are no cells"})
@@ -73,7 +73,7 @@
 
 // ownedRange is a range of flights and the cell that names it.
 type ownedRange struct {
-	Range
+	FlightRange
 	cell string
 }
 
@@ -95,7 +95,7 @@
 	if !isShare(p.Slack) {
 		c.say("", "", "slack", "want a figure from 0 to 1")
 	}
-	if p.Keep < 0 || p.Keep > mostKeep {
+	if p.AbsentRetention < 0 || p.AbsentRetention > mostKeep {
 		c.say("", "", "keep", "want a span of 0s to 24h")
 	}
 	if c.shares > 1+shareTolerance {
@@ -122,13 +122,13 @@
 	} else if m.To == m.From {
 		say("to", "from and to are the same cell")
 	}
-	if m.Span < leastSpan || m.Span > mostSpan {
+	if m.Duration < leastSpan || m.Duration > mostSpan {
 		say("span", "want a span of 1 s to 168 h")
 	}
-	if !isRate(m.Pace) {
+	if !isRate(m.MaxPerSecond) {
 		say("pace", "want a figure above 0")
 	}
-	if m.Back != 0 && m.Back <= m.Start {
+	if m.ReturnStart != 0 && m.ReturnStart <= m.Start {
 		say("back", "it is not after the start")
 	}
 }
--- a/internal/cells/check_cell.go
+++ b/internal/cells/check_cell.go
@@ -55,13 +55,13 @@
 }
 
 func (c *checker) limits(cell *Cell) {
-	if cell.Connections < 0 {
+	if cell.MaxConnections < 0 {
 		c.say("cell", cell.Name, "connections", "want a figure above 0")
 	}
-	if !isRate(cell.OpensPerSecond) {
+	if !isRate(cell.MaxOpensPerSecond) {
 		c.say("cell", cell.Name, "opens_per_second", "want a figure above 0")
 	}
-	if cell.Guests < 0 || cell.Connections > 0 && cell.Guests >= cell.Connections {
+	if cell.MaxGuests < 0 || cell.MaxConnections > 0 && cell.MaxGuests >= cell.MaxConnections {
 		c.say("cell", cell.Name, "guests", "want a figure from 0 to under the cell's connections, or its own room is gone")
 	}
 }
@@ -81,7 +81,7 @@
 	case to == nil:
 		say("there is no cell %q", cell.OverflowTo)
 		return
-	case to.Guests == 0:
+	case to.MaxGuests == 0:
 		say("cell %q takes no guests", to.Name)
 	}
 	for seen := 0; to != nil; to = c.names[to.OverflowTo] {
--- a/internal/cells/cost_test.go
+++ b/internal/cells/cost_test.go
@@ -70,7 +70,7 @@
 			list, p := hosts(1000), even(n)
 			b.ReportAllocs()
 			for b.Loop() {
-				p.Deal(list)
+				p.AssignHosts(list)
 			}
 		})
 	}
--- a/internal/cells/deal.go
+++ b/internal/cells/deal.go
@@ -9,13 +9,13 @@
 	"tealtiller/policy"
 )
 
-// Deal tells the cell of each endpoint, the same at every balancer: it depends on the plan and on the ids, rooms, kinds
+// AssignHosts tells the cell of each endpoint, the same at every balancer: it depends on the plan and on the ids, rooms, kinds
 // and numbers listed, and on nothing else. Endpoints that a cell names are its own, the earlier cell's first. The rest is
 // assigned by share: of all pairs of endpoint and cell the one of least cost (weighted rendezvous) is taken first, and
 // each cell takes up to its quota (largest remainder) and a little over (Slack), of each room and kind no more than its
 // share of that, so that it is spread over both. An endpoint more or less displaces others only where a cell is full,
 // and each only by a better pair, so that chains of displacement end soon. Without shares the rest is the default cell's.
-func (p *Plan) Deal(hosts []policy.Server) map[string]string {
+func (p *Plan) AssignHosts(hosts []policy.Server) map[string]string {
 	out := make(map[string]string, len(hosts))
 	var rest []policy.Server
 	for _, h := range hosts {
@@ -78,7 +78,7 @@
 			continue
 		}
 		for i, h := range hosts {
-			pairs = append(pairs, pair{Cost(h.ID, c), int32(i), int32(j)})
+			pairs = append(pairs, pair{AssignmentCost(h.ID, c), int32(i), int32(j)})
 		}
 	}
 	slices.SortFunc(pairs, func(a, b pair) int {
@@ -161,8 +161,8 @@
 	return out
 }
 
-// Cost is what it costs to assign an endpoint to a cell: the score of weighted rendezvous, the lower the better.
-func Cost(host string, c Cell) float64 { return -math.Log(unit(host, c.Name)) / c.Share }
+// AssignmentCost is what it costs to assign an endpoint to a cell: the score of weighted rendezvous, the lower the better.
+func AssignmentCost(host string, c Cell) float64 { return -math.Log(unit(host, c.Name)) / c.Share }
 
 // unit is a number over 0 and under 1 for an endpoint and a cell.
 func unit(host, cell string) float64 {
@@ -170,5 +170,5 @@
 	_, _ = h.Write([]byte(host))
 	_, _ = h.Write([]byte{0})
 	_, _ = h.Write([]byte(cell))
-	return (float64(Mix(h.Sum64())>>11) + 0.5) / (1 << 53)
+	return (float64(SplitMix64(h.Sum64())>>11) + 0.5) / (1 << 53)
 }
--- a/internal/cells/fleet.go
+++ b/internal/cells/fleet.go
@@ -82,7 +82,7 @@
 	if c.number > 0 {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(name))
-		seed ^= Mix(h.Sum64())
+		seed ^= SplitMix64(h.Sum64())
 	}
 	c.module = policy.New(f.settings(c), seed, c)
 	c.module.Lease(0, f.leaseUntil)
--- a/internal/cells/fleet_test.go
+++ b/internal/cells/fleet_test.go
@@ -164,9 +164,9 @@
 func TestFleetKeepsItsInvariants(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		plans := []*Plan{even(3), even(2), nil, {Default: "c0", Cells: []Cell{
-			{Name: "c0", Share: 0.5, Guests: 4, Connections: 12}, {Name: "c1", Share: 0.3, Connections: 3, OverflowTo: "c0", Carriers: []string{"air-1"}},
-			{Name: "c2", Share: 0.2, OpensPerSecond: 3, Carriers: []string{"air-2"}}},
-			Moves: []Move{{Carrier: "air-1", From: "c1", To: "c2", Start: t0 + time.Second, Span: 4 * time.Second, Back: t0 + 6*time.Second}}}}
+			{Name: "c0", Share: 0.5, MaxGuests: 4, MaxConnections: 12}, {Name: "c1", Share: 0.3, MaxConnections: 3, OverflowTo: "c0", Carriers: []string{"air-1"}},
+			{Name: "c2", Share: 0.2, MaxOpensPerSecond: 3, Carriers: []string{"air-2"}}},
+			Moves: []Move{{Carrier: "air-1", From: "c1", To: "c2", Start: t0 + time.Second, Duration: 4 * time.Second, ReturnStart: t0 + 6*time.Second}}}}
 		w := newWorld(t, settings(), plans[rapid.IntRange(0, 3).Draw(t, "plan")])
 		list, now, taken, open := hosts(9), t0, map[string]bool{}, []string{}
 		w.fleet.Members(now, policy.Full, list)
@@ -209,7 +209,7 @@
 				list[j].State = rapid.SampledFrom([]policy.State{policy.Ready, policy.Draining, policy.Gone}).Draw(t, "state")
 				w.fleet.Members(now, policy.Delta, list[j:j+1])
 			case what == 11:
-				w.fleet.Replan(now, plans[rapid.IntRange(0, 3).Draw(t, "plan")])
+				w.fleet.SetPlan(now, plans[rapid.IntRange(0, 3).Draw(t, "plan")])
 			}
 			for _, id := range w.moved { // the carrier ends what is moved, in the same moment
 				if w.out[id] != "" {
@@ -349,16 +349,16 @@
 
 // Limits refuse at once and say when to come back; guests have room up to a cap that leaves the cell its own.
 func TestLimitsAndGuests(t *testing.T) {
-	plan := &Plan{Default: "big", Keep: time.Minute, Cells: []Cell{{Name: "big", Share: 0.5, Connections: 10, Guests: 4},
-		{Name: "small", Share: 0.5, Connections: 3, OverflowTo: "big", Carriers: []string{"x"}}}}
+	plan := &Plan{Default: "big", AbsentRetention: time.Minute, Cells: []Cell{{Name: "big", Share: 0.5, MaxConnections: 10, MaxGuests: 4},
+		{Name: "small", Share: 0.5, MaxConnections: 3, OverflowTo: "big", Carriers: []string{"x"}}}}
 	w := newWorld(t, settings(), plan)
 	w.fleet.Members(t0, policy.Full, hosts(8))
 	for i := range 9 {
 		w.open(t0, fmt.Sprintf("g%d", i), "x", uint64(i))
 	}
-	f := w.fleet.Figures(t0)
-	assert.Equal(t, []int{4, 4, 3}, []int{f[0].Open, f[0].Guests, f[1].Open})
-	assert.Equal(t, []int64{4, 2, 0}, []int64{f[1].Overflowed, f[1].Full, f[0].Full})
+	f := w.fleet.Stats(t0)
+	assert.Equal(t, []int{4, 4, 3}, []int{f[0].Connections, f[0].Guests, f[1].Connections})
+	assert.Equal(t, []int64{4, 2, 0}, []int64{f[1].Overflowed, f[1].RefusedFull, f[0].RefusedFull})
 	assert.Equal(t, 1, w.final["g8"])
 	for i := range 6 {
 		assert.NotEmpty(t, w.open(t0, fmt.Sprintf("b%d", i), "", uint64(i)), "the cell keeps its own room")
@@ -378,7 +378,7 @@
 
 func TestOpensPerSecond(t *testing.T) {
 	for _, rate := range []float64{0.5, 1, 20} {
-		plan := &Plan{Default: "a", Cells: []Cell{{Name: "a", Share: 1, OpensPerSecond: rate}}}
+		plan := &Plan{Default: "a", Cells: []Cell{{Name: "a", Share: 1, MaxOpensPerSecond: rate}}}
 		w := newWorld(t, settings(), plan)
 		w.fleet.Members(t0, policy.Full, hosts(8))
 		passed := 0
@@ -396,7 +396,7 @@
 func TestMove(t *testing.T) {
 	for _, back := range []time.Duration{0, t0 + 15*time.Second} {
 		plan := even(2)
-		plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0 + 10*time.Second, Span: 10 * time.Second, Pace: 40, Back: back}}
+		plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0 + 10*time.Second, Duration: 10 * time.Second, MaxPerSecond: 40, ReturnStart: back}}
 		w := newWorld(t, settings(), plan)
 		w.fleet.Members(t0, policy.Full, hosts(20))
 		for i := range 300 {
@@ -418,14 +418,14 @@
 				w.up(now, fmt.Sprintf("r%d", flight%30+30*uint64(1000+again)), "air-1", flight%30)
 			}
 		}
-		want, f := 300, w.fleet.Figures(t0+40*time.Second)
+		want, f := 300, w.fleet.Stats(t0+40*time.Second)
 		if back > 0 {
 			want = 0
 			assert.Greater(t, again, 100)
 		} else {
 			assert.Equal(t, 300, again, "each client once")
 		}
-		assert.Equal(t, []int{want, 300 - want, 0, 0}, []int{f[0].Open, f[1].Open, f[0].MovesLeft, f[1].MovesLeft})
+		assert.Equal(t, []int{want, 300 - want, 0, 0}, []int{f[0].Connections, f[1].Connections, f[0].PendingMoves, f[1].PendingMoves})
 		for id, n := range told {
 			assert.Equal(t, 1, n, id)
 		}
@@ -435,7 +435,7 @@
 // What arrives mid-flow goes to the cell that holds it; one that is not there goes on at home, as a further attempt.
 func TestMidFlowInAMove(t *testing.T) {
 	plan := even(2)
-	plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0, Span: 4 * time.Second, Pace: 1}}
+	plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0, Duration: 4 * time.Second, MaxPerSecond: 1}}
 	w := newWorld(t, settings(), plan)
 	w.fleet.Members(t0-time.Second, policy.Full, hosts(24))
 	w.up(t0-time.Second, "s", "air-1", 5)
@@ -483,8 +483,8 @@
 	w.fleet.Members(t0, policy.Full, hosts(2))
 	w.up(t0, "r", "x", 1)
 	turned := &Plan{Default: "a", Cells: []Cell{{Name: "a", IDs: []string{"s-0001"}}, {Name: "b", IDs: []string{"s-0000"}}},
-		Moves: []Move{{Carrier: "x", From: "a", To: "b", Start: t0, Span: time.Second}}}
-	w.fleet.Replan(t0, turned)
+		Moves: []Move{{Carrier: "x", From: "a", To: "b", Start: t0, Duration: time.Second}}}
+	w.fleet.SetPlan(t0, turned)
 	for now := t0; now < t0+5*time.Second; now += 50 * time.Millisecond {
 		w.tick(now)
 	}
@@ -497,7 +497,7 @@
 // is in its new cell there, not to be told again.
 func TestClocksThatDiffer(t *testing.T) {
 	plan := even(2)
-	plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0 + time.Second, Span: 4 * time.Second}}
+	plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0 + time.Second, Duration: 4 * time.Second}}
 	const behind = 200 * time.Millisecond
 	ahead, late := newWorld(t, settings(), plan), newWorld(t, settings(), plan)
 	for _, w := range []*world{ahead, late} {
@@ -527,11 +527,11 @@
 // However often a plan is replaced in the midst of a move, one chain of timers drives it.
 func TestOneChainOfTimers(t *testing.T) {
 	plan := even(2)
-	plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0, Span: time.Minute}}
+	plan.Moves = []Move{{Carrier: "air-1", From: "c1", To: "c0", Start: t0, Duration: time.Minute}}
 	w := newWorld(t, settings(), plan)
 	w.fleet.Members(t0, policy.Full, hosts(8))
 	for i := range 10 {
-		w.fleet.Replan(t0+time.Duration(i)*10*time.Millisecond, plan)
+		w.fleet.SetPlan(t0+time.Duration(i)*10*time.Millisecond, plan)
 	}
 	asked := 0
 	for now := t0; now < t0+10*time.Second; now += 10 * time.Millisecond {
@@ -545,7 +545,7 @@
 // Discovery out of reach deals nothing anew; the place of a host that left is kept for a while, and no longer.
 func TestPlacesAreKeptForAWhile(t *testing.T) {
 	plan := even(4)
-	plan.Keep = 30 * time.Second
+	plan.AbsentRetention = 30 * time.Second
 	w := newWorld(t, settings(), plan)
 	list := hosts(16)
 	w.fleet.Members(t0, policy.Full, list)
--- a/internal/cells/host.go
+++ b/internal/cells/host.go
@@ -19,7 +19,7 @@
 
 // Refuse is a final answer.
 func (c *cell) Refuse(request string, retryAfter time.Duration, why policy.Reason) {
-	c.count.Refused++
+	c.count.RefusedByPolicy++
 	c.fleet.untrack(request)
 	c.fleet.host.Refuse(request, retryAfter, why)
 }
--- a/internal/cells/list.go
+++ b/internal/cells/list.go
@@ -91,8 +91,8 @@
 // reserve keeps the place of an endpoint that is gone.
 func (f *Fleet) reserve(now time.Duration, s policy.Server) {
 	delete(f.owners, s.ID)
-	if f.plan != nil && f.plan.Keep > 0 {
-		f.left[s.ID] = absent{s, now + f.plan.Keep}
+	if f.plan != nil && f.plan.AbsentRetention > 0 {
+		f.left[s.ID] = absent{s, now + f.plan.AbsentRetention}
 	}
 }
 
@@ -103,7 +103,7 @@
 	slices.SortFunc(hosts, byID)
 	var dealt map[string]string
 	if f.plan != nil {
-		dealt = f.plan.Deal(hosts)
+		dealt = f.plan.AssignHosts(hosts)
 	}
 	moved := 0
 	for _, s := range hosts {
--- a/internal/cells/moves.go
+++ b/internal/cells/moves.go
@@ -97,7 +97,7 @@
 
 // byCrossing orders connections as their flights cross.
 func byCrossing(a, b *tracked) int {
-	return cmp.Or(cmp.Compare(Position(a.q.Key), Position(b.q.Key)), cmp.Compare(a.q.Key, b.q.Key), cmp.Compare(a.q.ID, b.q.ID))
+	return cmp.Or(cmp.Compare(CrossingPosition(a.q.Key), CrossingPosition(b.q.Key)), cmp.Compare(a.q.Key, b.q.Key), cmp.Compare(a.q.ID, b.q.ID))
 }
 
 // where is the cell in which a connection is established: its endpoint's, which may have changed since it was placed.
@@ -119,7 +119,7 @@
 	}
 	for _, e := range due[:f.allowed(m, len(due), elapsed)] {
 		e.told = true
-		e.cell.count.Moved++
+		e.cell.count.MovesSent++
 		f.host.Move(e.q.ID)
 	}
 }
@@ -136,10 +136,10 @@
 // allowed is how many of the connections that are due fit the pace of a move now: this balancer's part of it, with no
 // more than two looks' worth saved up.
 func (f *Fleet) allowed(m *Move, due int, elapsed time.Duration) int {
-	if m.Pace <= 0 {
+	if m.MaxPerSecond <= 0 {
 		return due
 	}
-	pace := m.Pace / float64(f.siblings())
+	pace := m.MaxPerSecond / float64(f.siblings())
 	credit := min(f.credit[m.Carrier]+pace*elapsed.Seconds(), max(pace*moveEvery.Seconds()*2, 1))
 	allowed := min(due, int(credit))
 	f.credit[m.Carrier] = credit - float64(allowed)
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -22,18 +22,18 @@
 	// Slack is by how much a cell may exceed its share of the endpoints assigned. With none, every cell has its share to
 	// within one, and each endpoint that comes or goes moves some others; with a tenth, hardly any.
 	Slack float64
-	// Keep is how long the place of an endpoint that has left the list is kept for it. Danger: without, a crash in one
+	// AbsentRetention is how long the place of an endpoint that has left the list is kept for it. Danger: without, a crash in one
 	// cell would draw endpoints from all others, and its return would push them back.
-	Keep  time.Duration
-	Cells []Cell
-	Moves []Move
-	// Given, if set, is where a placement plan has a carrier's flight. What the file says of flights and moves takes
+	AbsentRetention time.Duration
+	Cells           []Cell
+	Moves           []Move
+	// PlacementCell, if set, is where a placement plan has a carrier's flight. What the file says of flights and moves takes
 	// precedence over it, and it over what the file says of carriers. A cell that does not exist counts as none.
-	Given func(now time.Duration, carrier string, flight uint64) (cell string, ok bool)
+	PlacementCell func(now time.Duration, carrier string, flight uint64) (cell string, ok bool)
 }
 
-// Len is how many cells a plan has; nil is one without.
-func (p *Plan) Len() int {
+// CellCount is how many cells a plan has; nil is one without.
+func (p *Plan) CellCount() int {
 	if p == nil {
 		return 0
 	}
@@ -45,25 +45,25 @@
 type Cell struct {
 	Name     string
 	Carriers []string
-	Flights  []Range
+	Flights  []FlightRange
 	// Endpoints that one of these names are the cell's; the rest of the fleet is assigned by share.
 	Numbers []int
 	Rooms   []string
 	Kinds   []string
 	IDs     []string
 	Share   float64
-	// Connections bounds what is established or being set up, OpensPerSecond what comes new.
-	Connections    int
-	OpensPerSecond float64
-	OverflowTo     string // when full, or with no endpoint in service; empty refuses
-	Guests         int    // the most connections that overflow from other cells into this one
+	// MaxConnections bounds what is established or being set up, OpensPerSecond what comes new.
+	MaxConnections    int
+	MaxOpensPerSecond float64
+	OverflowTo        string // when full, or with no endpoint in service; empty refuses
+	MaxGuests         int    // the most connections that overflow from other cells into this one
 }
 
-// Range is the flight keys from Low to High, both included.
-type Range struct{ Low, High uint64 }
+// FlightRange is the flight keys from Low to High, both included.
+type FlightRange struct{ Low, High uint64 }
 
-// ParseRange reads a flight key, or two with a dash between, in hexadecimal.
-func ParseRange(text string) (r Range, err error) {
+// ParseFlightRange reads a flight key, or two with a dash between, in hexadecimal.
+func ParseFlightRange(text string) (r FlightRange, err error) {
 	low, high, two := strings.Cut(text, "-")
 	if r.Low, err = strconv.ParseUint(low, 16, 64); err != nil {
 		return r, fmt.Errorf("flight %q: want a hexadecimal key, or LOW-HIGH", text)
@@ -76,10 +76,10 @@
 	return r, nil
 }
 
-func (r Range) contains(flight uint64) bool { return r.Low <= flight && flight <= r.High }
+func (r FlightRange) contains(flight uint64) bool { return r.Low <= flight && flight <= r.High }
 
-// Home tells in which cell a carrier's flight belongs at a time.
-func (p *Plan) Home(now time.Duration, carrier string, flight uint64) string {
+// HomeCell tells in which cell a carrier's flight belongs at a time.
+func (p *Plan) HomeCell(now time.Duration, carrier string, flight uint64) string {
 	home, _, _ := p.home(now, carrier, flight)
 	return home
 }
@@ -97,8 +97,8 @@
 		}
 		return m.From, m.To, since
 	}
-	if p.Given != nil {
-		if cell, ok := p.Given(now, carrier, flight); ok && p.hasCell(cell) {
+	if p.PlacementCell != nil {
+		if cell, ok := p.PlacementCell(now, carrier, flight); ok && p.hasCell(cell) {
 			return cell, "", 0
 		}
 	}
--- a/internal/cells/plan_test.go
+++ b/internal/cells/plan_test.go
@@ -38,12 +38,12 @@
 // Each mistake that an operator can make is told at its block and attribute, and all of them at once.
 func TestCheckTellsEveryMistake(t *testing.T) {
 	p := &Plan{Default: "nowhere", Cells: []Cell{
-		{Name: "a", Share: 0.7, Carriers: []string{"x"}, OverflowTo: "b", Guests: 3, Flights: []Range{{1, 9}}, Numbers: []int{4}, Rooms: []string{"r"}},
-		{Name: "b", Share: 0.7, Carriers: []string{"x"}, OverflowTo: "a", Guests: 5, Connections: 5, Flights: []Range{{9, 9}}, Numbers: []int{4}, Rooms: []string{"r"}},
+		{Name: "a", Share: 0.7, Carriers: []string{"x"}, OverflowTo: "b", MaxGuests: 3, Flights: []FlightRange{{1, 9}}, Numbers: []int{4}, Rooms: []string{"r"}},
+		{Name: "b", Share: 0.7, Carriers: []string{"x"}, OverflowTo: "a", MaxGuests: 5, MaxConnections: 5, Flights: []FlightRange{{9, 9}}, Numbers: []int{4}, Rooms: []string{"r"}},
 		{Name: "b", Share: math.NaN()}, {Name: "no good", OverflowTo: "c"}, {Name: "e", Share: 0.1, OverflowTo: "no good"},
-	}, Moves: []Move{{Carrier: "x", From: "b", To: "z", Span: 1, Start: 5, Back: 4, Pace: -1}, {Carrier: "x", From: "a", To: "a", Span: time.Hour}}}
+	}, Moves: []Move{{Carrier: "x", From: "b", To: "z", Duration: 1, Start: 5, ReturnStart: 4, MaxPerSecond: -1}, {Carrier: "x", From: "a", To: "a", Duration: time.Hour}}}
 	var got []string
-	for _, problem := range p.Check() {
+	for _, problem := range p.Validate() {
 		got = append(got, problem.Block+"|"+problem.Label+"|"+problem.Attribute)
 	}
 	for _, want := range []string{"||default", "cell|b|carriers", "cell|b|flights", "cell|b|numbers", "cell|b|rooms", "cell|b|guests",
@@ -51,8 +51,8 @@
 		"cell|e|overflow_to", "move|x|from", "move|x|to", "move|x|span", "move|x|back", "move|x|pace", "move|x|"} {
 		assert.Contains(t, got, want)
 	}
-	assert.Empty(t, even(40).Check())
-	assert.Empty(t, (&Plan{}).Check())
+	assert.Empty(t, even(40).Validate())
+	assert.Empty(t, (&Plan{}).Validate())
 }
 
 // Dealing is alike at every balancer, whatever the order in which the list came; every host is in one cell, each cell
@@ -61,9 +61,9 @@
 	rapid.Check(t, func(t *rapid.T) {
 		n, k := rapid.IntRange(1, 60).Draw(t, "hosts"), rapid.IntRange(1, 7).Draw(t, "cells")
 		p, list := even(k), hosts(n)
-		dealt := p.Deal(list)
+		dealt := p.AssignHosts(list)
 		shuffled := rapid.Permutation(list).Draw(t, "order")
-		assert.Equal(t, dealt, p.Deal(shuffled))
+		assert.Equal(t, dealt, p.AssignHosts(shuffled))
 		count := map[string]int{}
 		for _, s := range list {
 			count[dealt[s.ID]]++
@@ -79,7 +79,7 @@
 func TestDealSpreadsOverRoomsAndKinds(t *testing.T) {
 	list, p := hosts(48), even(4)
 	count := map[string]int{}
-	for id, c := range p.Deal(list) {
+	for id, c := range p.AssignHosts(list) {
 		i := slices.IndexFunc(list, func(s policy.Server) bool { return s.ID == id })
 		count[c+list[i].Zone+list[i].Kind]++
 	}
@@ -95,10 +95,10 @@
 	for slack, most := range map[float64]int{0.1: 30, 0: 180} {
 		list, p := hosts(1000), even(40)
 		p.Slack = slack
-		before, moved, largest := p.Deal(list), 0, 0
+		before, moved, largest := p.AssignHosts(list), 0, 0
 		for i := 0; i < 30; i++ {
 			count := map[string]int{}
-			for id, c := range p.Deal(slices.Delete(slices.Clone(list), i*30, i*30+1)) {
+			for id, c := range p.AssignHosts(slices.Delete(slices.Clone(list), i*30, i*30+1)) {
 				if before[id] != c {
 					moved++
 				}
@@ -114,21 +114,21 @@
 func TestHostsThatACellNames(t *testing.T) {
 	p := &Plan{Default: "rest", Cells: []Cell{{Name: "id", IDs: []string{"s-0000"}}, {Name: "number", Numbers: []int{0}},
 		{Name: "room", Rooms: []string{"llandaff"}}, {Name: "kind", Kinds: []string{"slow-clock"}}, {Name: "rest", Share: 1}}}
-	dealt := p.Deal(hosts(8))
+	dealt := p.AssignHosts(hosts(8))
 	assert.Equal(t, map[string]string{"s-0000": "id", "s-0001": "room", "s-0002": "kind", "s-0003": "room",
 		"s-0004": "rest", "s-0005": "number", "s-0006": "kind", "s-0007": "room"}, dealt)
 	p.Cells[4].Share = 0
 	p.Cells[4].Numbers = []int{99}
-	assert.Equal(t, "rest", p.Deal(hosts(8))["s-0004"], "without shares the default cell has the rest")
+	assert.Equal(t, "rest", p.AssignHosts(hosts(8))["s-0004"], "without shares the default cell has the rest")
 }
 
 // Within a move a flight crosses once, at a time that file and clock give; turned back, it returns once or never
 // crosses, the last one first.
 func TestFlightsCrossOnceAndReturnOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		m := Move{Carrier: "x", From: "a", To: "b", Start: 1000 * time.Second, Span: time.Duration(rapid.IntRange(1, 600).Draw(t, "span")) * time.Second}
+		m := Move{Carrier: "x", From: "a", To: "b", Start: 1000 * time.Second, Duration: time.Duration(rapid.IntRange(1, 600).Draw(t, "span")) * time.Second}
 		if rapid.Bool().Draw(t, "turned") {
-			m.Back = m.Start + time.Duration(rapid.IntRange(1, 900).Draw(t, "back"))*time.Second
+			m.ReturnStart = m.Start + time.Duration(rapid.IntRange(1, 900).Draw(t, "back"))*time.Second
 		}
 		flight := rapid.Uint64().Draw(t, "flight")
 		changes, was := 0, false
@@ -143,7 +143,7 @@
 			look(now)
 		}
 		look(m.End())
-		if m.Back == 0 {
+		if m.ReturnStart == 0 {
 			assert.Equal(t, 1, changes)
 			assert.True(t, was)
 		} else {
@@ -157,14 +157,14 @@
 // there is not counts as none.
 func TestAPlacementPlanGivesFlights(t *testing.T) {
 	p := even(4)
-	p.Cells[3].Flights = []Range{{7, 7}}
-	p.Moves = []Move{{Carrier: "air-2", From: "c2", To: "c1", Start: time.Second, Span: time.Second}}
+	p.Cells[3].Flights = []FlightRange{{7, 7}}
+	p.Moves = []Move{{Carrier: "air-2", From: "c2", To: "c1", Start: time.Second, Duration: time.Second}}
 	given := "c1"
-	p.Given = func(_ time.Duration, _ string, flight uint64) (string, bool) { return given, flight < 10 }
-	assert.Equal(t, "c1", p.Home(0, "air-0", 5))
-	assert.Equal(t, "c3", p.Home(0, "air-0", 7), "the file names the flight")
-	assert.Equal(t, "c2", p.Home(0, "air-2", 5), "its carrier moves")
-	assert.Equal(t, "c0", p.Home(0, "air-0", 50), "the plan does not know the flight")
+	p.PlacementCell = func(_ time.Duration, _ string, flight uint64) (string, bool) { return given, flight < 10 }
+	assert.Equal(t, "c1", p.HomeCell(0, "air-0", 5))
+	assert.Equal(t, "c3", p.HomeCell(0, "air-0", 7), "the file names the flight")
+	assert.Equal(t, "c2", p.HomeCell(0, "air-2", 5), "its carrier moves")
+	assert.Equal(t, "c0", p.HomeCell(0, "air-0", 50), "the plan does not know the flight")
 	given = "c9"
-	assert.Equal(t, "c0", p.Home(0, "air-0", 5))
+	assert.Equal(t, "c0", p.HomeCell(0, "air-0", 5))
 }
--- a/internal/cells/replan.go
+++ b/internal/cells/replan.go
@@ -6,10 +6,10 @@
 	"time"
 )
 
-// Replan takes another plan from now on; nil, or one without cells, is none. Established connections go on where they
+// SetPlan takes another plan from now on; nil, or one without cells, is none. Established connections go on where they
 // are, and end with the module that placed them.
-func (f *Fleet) Replan(now time.Duration, plan *Plan) {
-	if plan.Len() == 0 {
+func (f *Fleet) SetPlan(now time.Duration, plan *Plan) {
+	if plan.CellCount() == 0 {
 		plan = nil
 	}
 	if plan == nil && f.plan == nil {
--- a/internal/cells/reports.go
+++ b/internal/cells/reports.go
@@ -8,19 +8,19 @@
 
 // Counts are what a cell has done since the process started.
 type Counts struct {
-	Full, TooFast, NoHost int64 // refused by the cell's limits, or for want of an endpoint in service
-	Refused               int64 // refused by its module
-	Overflowed            int64 // sent to another cell instead
-	Moved                 int64 // clients told to move as their carrier leaves the cell
+	RefusedFull, RefusedTooFast, RefusedNoHost int64 // refused by the cell's limits, or for want of an endpoint in service
+	RefusedByPolicy                            int64 // refused by its module
+	Overflowed                                 int64 // sent to another cell instead
+	MovesSent                                  int64 // clients told to move as their carrier leaves the cell
 }
 
-// Figures are what an operator reads of a cell.
-type Figures struct {
-	Name          string
-	Open          int // connections that are established or being set up
-	Guests        int // of them those that overflowed from other cells
-	Hosts, Usable int // in the list; of them those that the module does not avoid
-	MovesLeft     int // connections established here whose flight belongs, or will belong, in another cell by a move
+// Stats are what an operator reads of a cell.
+type Stats struct {
+	Name               string
+	Connections        int // connections that are established or being set up
+	Guests             int // of them those that overflowed from other cells
+	Hosts, UsableHosts int // in the list; of them those that the module does not avoid
+	PendingMoves       int // connections established here whose flight belongs, or will belong, in another cell by a move
 	Counts
 }
 
@@ -62,17 +62,17 @@
 	return listed, avoided
 }
 
-// Figures are those of the plan's cells in its order; without a plan there are none.
-func (f *Fleet) Figures(now time.Duration) []Figures {
+// Stats are those of the plan's cells in its order; without a plan there are none.
+func (f *Fleet) Stats(now time.Duration) []Stats {
 	if f.plan == nil {
 		return nil
 	}
 	left := f.movesLeft()
-	out := make([]Figures, len(f.cells))
+	out := make([]Stats, len(f.cells))
 	for i, c := range f.cells {
 		listed, avoided := c.module.ServerCounts(now)
-		out[i] = Figures{Name: c.name, Open: c.open, Guests: c.guests, Hosts: listed, Usable: listed - avoided,
-			MovesLeft: left[c], Counts: c.count}
+		out[i] = Stats{Name: c.name, Connections: c.open, Guests: c.guests, Hosts: listed, UsableHosts: listed - avoided,
+			PendingMoves: left[c], Counts: c.count}
 	}
 	return out
 }
@@ -83,7 +83,7 @@
 	for i := range f.plan.Moves {
 		m := &f.plan.Moves[i]
 		source, target := f.named(m.From), f.named(m.To)
-		if m.Back > 0 {
+		if m.ReturnStart > 0 {
 			source, target = target, source
 		}
 		if source == target {
--- a/internal/cells/tracked.go
+++ b/internal/cells/tracked.go
@@ -154,7 +154,7 @@
 	}
 	home := f.root
 	if f.plan != nil {
-		home = f.named(f.plan.Home(now, q.Tenant, q.Key))
+		home = f.named(f.plan.HomeCell(now, q.Tenant, q.Key))
 	}
 	f.track(q, home, nil, now)
 	home.module.Request(now, q)
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -104,7 +104,7 @@
 // clocks and the time on the way, or one that its own overflows to.
 func belongs(p *cells.Plan, now time.Duration, carrier string, group uint64, cell string) bool {
 	for _, skew := range []time.Duration{0, -1500 * time.Millisecond, 250 * time.Millisecond} {
-		home := p.Home(now+skew, carrier, group)
+		home := p.HomeCell(now+skew, carrier, group)
 		if home == cell {
 			return true
 		}
--- a/internal/lab/audit_clients.go
+++ b/internal/lab/audit_clients.go
@@ -10,7 +10,7 @@
 func (a *audit) groups(c *client) []*Group {
 	cell := "all"
 	if p := c.lab.exp.Plan; p != nil {
-		cell = p.Home(0, c.carrier, c.group)
+		cell = p.HomeCell(0, c.carrier, c.group)
 	}
 	both := []*Group{groupOf(a.Cells, cell), groupOf(a.Carriers, c.carrier)}
 	if c.extra {
--- a/internal/lab/audit_stands.go
+++ b/internal/lab/audit_stands.go
@@ -18,7 +18,7 @@
 	defer c.lab.mu.Unlock()
 	a.Moves++
 	p := c.lab.plan
-	if p == nil || p.Home(c.lab.now(), c.carrier, c.group) == c.lab.cellOf[a.lastAt[c.id]] {
+	if p == nil || p.HomeCell(c.lab.now(), c.carrier, c.group) == c.lab.cellOf[a.lastAt[c.id]] {
 		return // the module's own reasons
 	}
 	a.Followed++
--- a/internal/lab/churn.go
+++ b/internal/lab/churn.go
@@ -38,7 +38,7 @@
 		v.machines[s.ID] = &virtualHost{Machine: NewMachine(s, time.Second)}
 		c.list = append(c.list, v.server(s, policy.Ready))
 	}
-	c.dealt = c.plan.Deal(c.list)
+	c.dealt = c.plan.AssignHosts(c.list)
 	return c
 }
 
@@ -56,7 +56,7 @@
 // deal deals the hosts anew, and counts who changed its cell.
 func (c *churn) deal() {
 	c.changes++
-	after := c.plan.Deal(c.list)
+	after := c.plan.AssignHosts(c.list)
 	kept := map[string]int{} // hosts that were in a cell and still exist
 	for id, cell := range after {
 		was, stayed := c.dealt[id]
@@ -80,7 +80,7 @@
 	count := map[string]int{}
 	for _, s := range c.list {
 		cheapest := slices.MinFunc(c.plan.Cells, func(a, b cells.Cell) int {
-			return cmp.Compare(cells.Cost(s.ID, a), cells.Cost(s.ID, b))
+			return cmp.Compare(cells.AssignmentCost(s.ID, a), cells.AssignmentCost(s.ID, b))
 		})
 		count[cheapest.Name]++
 	}
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -63,7 +63,7 @@
 
 // even is a plan of so many equal cells.
 func (e *Experiment) even() *cells.Plan {
-	p := &cells.Plan{Default: "cell-00", Slack: 0.1, Keep: time.Minute}
+	p := &cells.Plan{Default: "cell-00", Slack: 0.1, AbsentRetention: time.Minute}
 	for i := range e.Cells {
 		p.Cells = append(p.Cells, cells.Cell{Name: fmt.Sprintf("cell-%02d", i), Share: 1 / float64(e.Cells)})
 	}
@@ -220,7 +220,7 @@
 	if a.home < e.Skew {
 		home = 0
 	}
-	if cells.Position(a.key^a.group) >= mostlyHome {
+	if cells.CrossingPosition(a.key^a.group) >= mostlyHome {
 		home = 1 - home
 	}
 	return bothRooms[home]
--- a/internal/lab/prove.go
+++ b/internal/lab/prove.go
@@ -129,13 +129,13 @@
 	worst, atStart, left, there, last := s.Joint()
 	m := s.plan.Moves[0]
 	v.must(o.MovedTwice == 0, "%d clients were moved more than once", o.MovedTwice)
-	v.must(worst <= m.Span, "a flight stood in both cells for %v, over the span of %v", worst, m.Span)
+	v.must(worst <= m.Duration, "a flight stood in both cells for %v, over the span of %v", worst, m.Duration)
 	v.must(left == 0, "%d connections are left in the old cell", left)
-	v.must(last <= m.Span, "the last client was moved %v after the start, over the span of %v", last, m.Span)
+	v.must(last <= m.Duration, "the last client was moved %v after the start, over the span of %v", last, m.Duration)
 	v.must(atStart >= 300, "%d connections stood as the move began: too few to prove it", atStart)
 	v.Figures = map[string]any{"lost": o.Lost, "doubled": o.Doubled, "foreign": o.Foreign, "opens": o.Opens, "served": o.Served,
 		"refused": o.Refused, "failed": o.Failed, "moves": o.Moves, "followed": o.Followed, "moved_twice": o.MovedTwice, "stood_at_start": atStart, "left_in_old_cell": left,
-		"stand_in_new_cell": there, "longest_in_both_s": round(worst), "last_moved_after_s": round(last), "span_s": round(m.Span),
+		"stand_in_new_cell": there, "longest_in_both_s": round(worst), "last_moved_after_s": round(last), "span_s": round(m.Duration),
 		"late_drains": o.LateDrains, "cut": o.Cut}
 	return v, nil
 }
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -60,7 +60,7 @@
 		return nil, err
 	}
 	if exp.Plan != nil {
-		s.cellOf = exp.Plan.Deal(list)
+		s.cellOf = exp.Plan.AssignHosts(list)
 		if withCells {
 			s.plan = exp.Plan
 		}
--- a/internal/lab/sockets_run.go
+++ b/internal/lab/sockets_run.go
@@ -17,7 +17,7 @@
 			s.startFault(f)
 		}
 	}
-	if s.plan.Len() > 0 && len(s.plan.Moves) > 0 {
+	if s.plan.CellCount() > 0 && len(s.plan.Moves) > 0 {
 		go s.watchMove(time.Unix(0, int64(s.plan.Moves[0].Start)))
 	}
 	s.sleepUntil(s.began.Add(span(s.exp.Duration)))
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -45,7 +45,7 @@
 	}
 	list := v.addMachines()
 	if exp.Plan != nil {
-		v.cellOf = exp.Plan.Deal(list) // faults strike the same hosts in both runs
+		v.cellOf = exp.Plan.AssignHosts(list) // faults strike the same hosts in both runs
 		if withCells {
 			v.plan = exp.Plan
 		}
@@ -92,7 +92,7 @@
 	if f.Cell == "" || f.Kind == "heavy" || v.exp.Plan == nil {
 		return false
 	}
-	return v.exp.Plan.Home(0, carrier, group) == f.Cell
+	return v.exp.Plan.HomeCell(0, carrier, group) == f.Cell
 }
 
 // Settings are those that the operators' pages give.
--- a/internal/lab/virtual_balancer.go
+++ b/internal/lab/virtual_balancer.go
@@ -27,7 +27,7 @@
 // Send plays an attempt at a desk host.
 func (b *virtualBalancer) Send(request, server string, timeout time.Duration) {
 	v, c, m := b.v, b.clients[request], b.v.machines[server]
-	if v.plan != nil && c != nil && v.cellOf[server] != v.plan.Home(v.now, c.carrier, c.group) {
+	if v.plan != nil && c != nil && v.cellOf[server] != v.plan.HomeCell(v.now, c.carrier, c.group) {
 		v.Result.Foreign++
 	}
 	if c == nil || m == nil {
--- a/internal/lab/worth.go
+++ b/internal/lab/worth.go
@@ -76,7 +76,7 @@
 		return e, err
 	}
 	e.Plan = file.Cells
-	e.Plan.Given = p.Cell
+	e.Plan.PlacementCell = p.Cell
 	return e, nil
 }
 
--- a/internal/net/node.go
+++ b/internal/net/node.go
@@ -176,7 +176,7 @@
 		n.reweigh(now)
 		n.delays.next(n, now)
 		n.recorder.turn(n, now)
-		n.log.Info("ready", "listen", n.cfg.Listen, "hosts", len(n.known.Members), "cells", n.cfg.CellPlan.Len())
+		n.log.Info("ready", "listen", n.cfg.Listen, "hosts", len(n.known.Members), "cells", n.cfg.CellPlan.CellCount())
 	})
 }
 
--- a/internal/net/reload.go
+++ b/internal/net/reload.go
@@ -35,14 +35,14 @@
 // reloaded swaps in what has changed. Requests, the list and all that is known of hosts stay.
 func (n *Node) reloaded(cfg NodeConfig) {
 	n.count.Add("configurations taken in")
-	n.log.Info("configuration-taken", "discovery", cfg.Discovery, "cells", cfg.CellPlan.Len())
+	n.log.Info("configuration-taken", "discovery", cfg.Discovery, "cells", cfg.CellPlan.CellCount())
 	if cfg.Listen != n.cfg.Listen || cfg.Admin != n.cfg.Admin || cfg.Name != n.cfg.Name {
 		n.log.Warn("restart-needed", "reason", "another name or listening address")
 		cfg.Listen, cfg.Admin, cfg.Name = n.cfg.Listen, n.cfg.Admin, n.cfg.Name
 	}
 	n.adopt(cfg)
 	n.table.Reconfigure(cfg.Settings.Policy)
-	n.table.CallModule(n.now(), func() { n.fleet.Replan(n.now(), cfg.CellPlan) })
+	n.table.CallModule(n.now(), func() { n.fleet.SetPlan(n.now(), cfg.CellPlan) })
 	n.reweigh(n.now())
 	n.recorder.turn(n, n.now())
 	n.turnZones(n.now())
--- a/internal/operator/cells.go
+++ b/internal/operator/cells.go
@@ -14,7 +14,7 @@
 
 // plan reads the cells and their moves, and has them checked as a whole.
 func (r *reader) plan(b *cellsBlock) *cells.Plan {
-	p := &cells.Plan{Default: b.Default, Slack: usualSlack, Keep: usualKeep}
+	p := &cells.Plan{Default: b.Default, Slack: usualSlack, AbsentRetention: usualKeep}
 	if b.Slack != nil {
 		p.Slack = *b.Slack
 	}
@@ -23,7 +23,7 @@
 		if err != nil {
 			r.fail("", "", "keep", "want a span of time such as 60s")
 		}
-		p.Keep = keep
+		p.AbsentRetention = keep
 	}
 	for _, c := range b.Cells {
 		p.Cells = append(p.Cells, r.cell(c))
@@ -31,7 +31,7 @@
 	for _, m := range b.Moves {
 		p.Moves = append(p.Moves, r.move(m))
 	}
-	for _, problem := range p.Check() {
+	for _, problem := range p.Validate() {
 		r.fail(problem.Block, problem.Label, problem.Attribute, "%s", problem.Reason)
 	}
 	return p
@@ -39,16 +39,16 @@
 
 func (r *reader) cell(c cellBlock) cells.Cell {
 	out := cells.Cell{Name: c.Name, Carriers: c.Carriers, Numbers: c.Numbers, Rooms: c.Rooms, Kinds: c.Kinds,
-		IDs: c.IDs, Share: c.Share, OverflowTo: c.OverflowTo, Guests: c.Guests}
+		IDs: c.IDs, Share: c.Share, OverflowTo: c.OverflowTo, MaxGuests: c.Guests}
 	for _, text := range c.Flights {
-		flights, err := cells.ParseRange(text)
+		flights, err := cells.ParseFlightRange(text)
 		if err != nil {
 			r.fail("cell", c.Name, "flights", "%v", err)
 		}
 		out.Flights = append(out.Flights, flights)
 	}
-	out.Connections = limit(r, "cell", c.Name, "connections", c.Connections)
-	out.OpensPerSecond = limit(r, "cell", c.Name, "opens_per_second", c.OpensPerSecond)
+	out.MaxConnections = limit(r, "cell", c.Name, "connections", c.Connections)
+	out.MaxOpensPerSecond = limit(r, "cell", c.Name, "opens_per_second", c.OpensPerSecond)
 	return out
 }
 
@@ -56,15 +56,15 @@
 	out := cells.Move{Carrier: m.Carrier, From: m.From, To: m.To}
 	out.Start = r.moment(m.Carrier, "start", m.Start)
 	if m.Back != "" {
-		out.Back = r.moment(m.Carrier, "back", m.Back)
+		out.ReturnStart = r.moment(m.Carrier, "back", m.Back)
 	}
 	span, err := time.ParseDuration(m.Span)
 	if err != nil {
 		r.fail("move", m.Carrier, "span", "want a span of time such as 90s or 10m")
 		span = time.Second // told once
 	}
-	out.Span = span
-	out.Pace = limit(r, "move", m.Carrier, "pace", m.Pace)
+	out.Duration = span
+	out.MaxPerSecond = limit(r, "move", m.Carrier, "pace", m.Pace)
 	return out
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -102,7 +102,7 @@
 		out.Failover = r.failover(doc.Failover)
 	}
 	if given := out.Placement.Plan; given != nil && out.Cells != nil {
-		out.Cells.Given = given.Cell
+		out.Cells.PlacementCell = given.Cell
 	}
 	return out
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -42,9 +42,9 @@
 	require.NoError(t, err)
 	require.Len(t, f.Cells.Cells, 2)
 	assert.Equal(t, uint64(0x1ff), f.Cells.Cells[0].Flights[1].High)
-	assert.Equal(t, 2.5, f.Cells.Cells[1].OpensPerSecond)
+	assert.Equal(t, 2.5, f.Cells.Cells[1].MaxOpensPerSecond)
 	assert.Equal(t, []time.Duration{time.Minute, 10 * time.Minute, 5 * time.Minute},
-		[]time.Duration{f.Cells.Keep, f.Cells.Moves[0].Span, f.Cells.Moves[0].Back - f.Cells.Moves[0].Start})
+		[]time.Duration{f.Cells.AbsentRetention, f.Cells.Moves[0].Duration, f.Cells.Moves[0].ReturnStart - f.Cells.Moves[0].Start})
 	f, err = Parse(nil, "empty.hcl")
 	require.NoError(t, err)
 	assert.Nil(t, f.Cells)
@@ -83,7 +83,7 @@
 func TestTheExampleIsGood(t *testing.T) {
 	f, err := Load("../../deploy/operator.hcl")
 	require.NoError(t, err)
-	assert.Equal(t, 3, f.Cells.Len())
+	assert.Equal(t, 3, f.Cells.CellCount())
 	_, err = Load(filepath.Join(t.TempDir(), "none.hcl"))
 	assert.ErrorContains(t, err, "no such file")
 	large := filepath.Join(t.TempDir(), "large.hcl")
@@ -108,7 +108,7 @@
 			return
 		}
 		if file.Cells != nil {
-			assert.Empty(t, file.Cells.Check())
+			assert.Empty(t, file.Cells.Validate())
 		}
 	})
 }
@@ -123,7 +123,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, Placement{Plan: f.Placement.Plan, Path: filepath.Join(folder, "p.json"), Record: filepath.Join(folder, "r"), Every: 5 * time.Second,
 		Largest: 64 << 20}, f.Placement)
-	cell, ok := f.Cells.Given(time.Duration(f.Placement.Plan.Born.UnixNano()), "x", 0x1f)
+	cell, ok := f.Cells.PlacementCell(time.Duration(f.Placement.Plan.Born.UnixNano()), "x", 0x1f)
 	assert.True(t, ok)
 	assert.Equal(t, "north", cell)
 	for text, want := range map[string]string{
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -30,7 +30,7 @@
 	for n := range s.flight {
 		best := none
 		if len(s.hosts) > 0 {
-			best = int(cells.Mix(s.fleet.Flights[s.flights[n]].ID) % uint64(len(s.hosts)))
+			best = int(cells.SplitMix64(s.fleet.Flights[s.flights[n]].ID) % uint64(len(s.hosts)))
 		}
 		for i := s.from[n]; i < s.from[n+1]; i++ {
 			at[i] = int32(best)
--- a/internal/placement/weigher.go
+++ b/internal/placement/weigher.go
@@ -137,7 +137,7 @@
 		return "", false
 	}
 	force, _ := p.Force(now)
-	if cells.Position(flight) >= force {
+	if cells.CrossingPosition(flight) >= force {
 		return "", false
 	}
 	cell, ok := p.cells[flight]
