--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -16,18 +16,18 @@
 
 // Settings are the figures of the module. Times are durations on the clock that comes in.
 type Settings struct {
-	Warm     time.Duration // how long a host that has just started takes to be warm
-	ColdFrom float64       // the part of its capacity that a host has at its start, 0 to 1
-	Span     time.Duration // over which this balancer's own outcomes fade (by e after one Span)
-	Least    float64       // the weight of outcomes below which they decide nothing
-	Enter    float64       // the failing part of outcomes at which a zone is shunned
-	Leave    float64       // the failing part under which it is no longer; Leave < Enter
-	Swing    float64       // the most that a zone's share moves in a second
+	WarmUp             time.Duration // how long a host that has just started takes to be warm
+	ColdCapacity       float64       // the part of its capacity that a host has at its start, 0 to 1
+	DecayTime          time.Duration // over which this balancer's own outcomes fade (by e after one Span)
+	MinOutcomes        float64       // the weight of outcomes below which they decide nothing
+	ShunThreshold      float64       // the failing part of outcomes at which a zone is shunned
+	RecoverThreshold   float64       // the failing part under which it is no longer; Leave < Enter
+	MaxChangePerSecond float64       // the most that a zone's share moves in a second
 }
 
-// Defaults: warm-up and cold start as both sites have them at their slowest, a swing of a quarter a second.
-var Defaults = Settings{Warm: 8500 * time.Millisecond, ColdFrom: 0.39, Span: 3 * time.Second, Least: 4, Enter: 0.6,
-	Leave: 0.3, Swing: 0.25}
+// DefaultSettings: warm-up and cold start as both sites have them at their slowest, a swing of a quarter a second.
+var DefaultSettings = Settings{WarmUp: 8500 * time.Millisecond, ColdCapacity: 0.39, DecayTime: 3 * time.Second, MinOutcomes: 4, ShunThreshold: 0.6,
+	RecoverThreshold: 0.3, MaxChangePerSecond: 0.25}
 
 // Host is one entry of the list as the module needs it.
 type Host struct {
@@ -82,8 +82,8 @@
 	return c
 }
 
-// Listed takes the whole list. A zone that no longer has a host keeps its state, with no host in service.
-func (z *Zones) Listed(now time.Duration, hosts []Host) {
+// SetHosts takes the whole list. A zone that no longer has a host keeps its state, with no host in service.
+func (z *Zones) SetHosts(now time.Duration, hosts []Host) {
 	z.advance(now)
 	for _, c := range z.zones {
 		c.up, c.listed = c.up[:0], 0
@@ -97,11 +97,11 @@
 	z.aim(now)
 }
 
-// Saw takes one outcome of this balancer's own at a host of a zone: ok where it came up or answered in time.
-func (z *Zones) Saw(now time.Duration, name string, ok bool) {
+// RecordOutcome takes one outcome of this balancer's own at a host of a zone: ok where it came up or answered in time.
+func (z *Zones) RecordOutcome(now time.Duration, name string, ok bool) {
 	z.advance(now)
 	c := z.of(name, now)
-	c.fade(now, z.set.Span)
+	c.fade(now, z.set.DecayTime)
 	if ok {
 		c.ok++
 	} else {
@@ -138,8 +138,8 @@
 	}
 }
 
-// Moving tells whether some zone's share has still to reach its target, so that its state may change with no event.
-func (z *Zones) Moving(now time.Duration) bool {
+// InTransition tells whether some zone's share has still to reach its target, so that its state may change with no event.
+func (z *Zones) InTransition(now time.Duration) bool {
 	z.settle(now)
 	for _, c := range z.zones {
 		if c.share != c.target {
@@ -158,7 +158,7 @@
 	best, least := "", math.Inf(1)
 	for _, name := range z.names {
 		c := z.zones[name]
-		c.fade(now, z.set.Span)
+		c.fade(now, z.set.DecayTime)
 		if f := c.failing(); len(c.up) > 0 && f < least {
 			best, least = name, f
 		}
@@ -184,11 +184,11 @@
 // judge applies the hysteresis. Evidence that has faded below Least decides nothing, so a shunned zone, which is sent
 // nothing and so says nothing, is tried again once its evidence has faded: in steps, by the swing.
 func (z *Zones) judge(c *zone) {
-	seen := c.ok+c.bad >= z.set.Least
+	seen := c.ok+c.bad >= z.set.MinOutcomes
 	switch f := c.failing(); {
-	case seen && f >= z.set.Enter:
+	case seen && f >= z.set.ShunThreshold:
 		c.shunned = true
-	case !seen || f <= z.set.Leave:
+	case !seen || f <= z.set.RecoverThreshold:
 		c.shunned = false
 	}
 }
@@ -206,7 +206,7 @@
 	z.aimedAt = now
 	for _, name := range z.names {
 		c := z.zones[name]
-		c.fade(now, z.set.Span)
+		c.fade(now, z.set.DecayTime)
 		z.judge(c)
 		c.target = 0
 		if c.shunned || c.listed == 0 {
@@ -226,10 +226,10 @@
 }
 
 func (z *Zones) warmth(now, up time.Duration) float64 {
-	if up <= 0 || z.set.Warm <= 0 || now-up >= z.set.Warm {
+	if up <= 0 || z.set.WarmUp <= 0 || now-up >= z.set.WarmUp {
 		return 1
 	}
-	return z.set.ColdFrom + (1-z.set.ColdFrom)*float64(max(now-up, 0))/float64(z.set.Warm)
+	return z.set.ColdCapacity + (1-z.set.ColdCapacity)*float64(max(now-up, 0))/float64(z.set.WarmUp)
 }
 
 // advance moves each share towards the target that held since the last event, by at most Swing a second.
@@ -239,7 +239,7 @@
 		if now <= c.at {
 			continue
 		}
-		step := z.set.Swing * (now - c.at).Seconds()
+		step := z.set.MaxChangePerSecond * (now - c.at).Seconds()
 		c.share = min(max(c.target, c.share-step), c.share+step)
 		c.at = now
 	}
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -26,9 +26,9 @@
 		name := zone.Draw(t, "zone")
 		for _, z := range zs {
 			if list {
-				z.Listed(now, hosts)
+				z.SetHosts(now, hosts)
 			} else {
-				z.Saw(now, name, ok)
+				z.RecordOutcome(now, name, ok)
 			}
 		}
 		after(now)
@@ -39,7 +39,7 @@
 // The same inputs give the same states: what balancers derive from the list alike, they derive alike.
 func TestSameInputsSameStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		a, b := New(Defaults), New(Defaults)
+		a, b := New(DefaultSettings), New(DefaultSettings)
 		feed(t, func(now time.Duration) {
 			for _, name := range zoneNames {
 				if sa, sb := a.Share(now, name), b.Share(now, name); sa != sb || a.State(now, name) != b.State(now, name) {
@@ -54,13 +54,13 @@
 // back from the dark is not sent all at once.
 func TestNoSwingFasterThanItsBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		z := New(Defaults)
+		z := New(DefaultSettings)
 		last, lastAt := map[string]float64{}, map[string]time.Duration{}
 		feed(t, func(now time.Duration) {
 			for _, name := range z.Names() {
 				s := z.Share(now, name)
 				was, ok := last[name]
-				if s < 0 || s > 1 || ok && math.Abs(s-was) > Defaults.Swing*(now-lastAt[name]).Seconds()+1e-9 {
+				if s < 0 || s > 1 || ok && math.Abs(s-was) > DefaultSettings.MaxChangePerSecond*(now-lastAt[name]).Seconds()+1e-9 {
 					t.Fatalf("%s: %v to %v in %v", name, was, s, now-lastAt[name])
 				}
 				last[name], lastAt[name] = s, now
@@ -72,16 +72,16 @@
 // Every zone that is up, warm and sound gets all of its traffic back, whatever came before.
 func TestSoundZonesComeBack(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		z := New(Defaults)
+		z := New(DefaultSettings)
 		now := feed(t, func(time.Duration) {}, z)
 		var hosts []Host
 		for _, name := range zoneNames {
 			hosts = append(hosts, Host{Zone: name, InService: true, UpSince: now})
 		}
-		z.Listed(now, hosts)
-		later := now + Defaults.Warm + 10*Defaults.Span + time.Duration(float64(time.Second)/Defaults.Swing)
+		z.SetHosts(now, hosts)
+		later := now + DefaultSettings.WarmUp + 10*DefaultSettings.DecayTime + time.Duration(float64(time.Second)/DefaultSettings.MaxChangePerSecond)
 		for t0 := now; t0 < later; t0 += 500 * time.Millisecond {
-			z.Saw(t0, rapid.SampledFrom(zoneNames).Draw(t, "sound"), true)
+			z.RecordOutcome(t0, rapid.SampledFrom(zoneNames).Draw(t, "sound"), true)
 		}
 		for _, name := range zoneNames {
 			if s, st := z.Share(later, name), z.State(later, name); s != 1 || st != Near {
@@ -93,28 +93,28 @@
 
 // A zone whose outcomes fail is shunned only once enough was seen, and stays so until they fade or mend.
 func TestEvidenceCountsByWhatWasSeen(t *testing.T) {
-	z := New(Defaults)
-	z.Listed(start, []Host{{Zone: "porto", InService: true}, {Zone: "faro", InService: true}})
+	z := New(DefaultSettings)
+	z.SetHosts(start, []Host{{Zone: "porto", InService: true}, {Zone: "faro", InService: true}})
 	state := func(at time.Duration, share float64, want State) {
 		t.Helper()
 		if s, st := z.Share(at, "porto"), z.State(at, "porto"); s != share && share >= 0 || st != want {
 			t.Fatalf("at %v: share %v, %v; want %v, %v", at-start, s, st, share, want)
 		}
 	}
-	z.Saw(start, "porto", false)
-	z.Saw(start, "porto", false)
+	z.RecordOutcome(start, "porto", false)
+	z.RecordOutcome(start, "porto", false)
 	state(start, 1, Near) // two failures of one balancer do not move the zone
 	for range 4 {
-		z.Saw(start, "porto", false)
+		z.RecordOutcome(start, "porto", false)
 	}
-	state(start+time.Second, 1-Defaults.Swing, Shared)
+	state(start+time.Second, 1-DefaultSettings.MaxChangePerSecond, Shared)
 	at := start + time.Second
 	for ; at < start+5*time.Second; at += 500 * time.Millisecond {
-		z.Saw(at, "porto", false)
+		z.RecordOutcome(at, "porto", false)
 	}
 	state(at, 0, Shunned)
 	if z.Fallback(at) != "faro" {
 		t.Fatalf("fallback %q", z.Fallback(at))
 	}
-	state(at+5*Defaults.Span, -1, Returning) // the evidence has faded
+	state(at+5*DefaultSettings.DecayTime, -1, Returning) // the evidence has faded
 }
--- a/internal/net/zones.go
+++ b/internal/net/zones.go
@@ -44,7 +44,7 @@
 		hosts[i], zoneOf[s.ID] = failover.Host{Zone: s.Zone, InService: s.State == policy.Ready, UpSince: s.Started}, s.Zone
 	}
 	z.zoneOf = zoneOf
-	z.module.Listed(now, hosts)
+	z.module.SetHosts(now, hosts)
 	n.zonesTell(now)
 }
 
@@ -52,7 +52,7 @@
 func (n *Node) zoneSaw(now time.Duration, host string, ok bool) {
 	if z := n.zones; z != nil {
 		if zone, known := z.zoneOf[host]; known {
-			z.module.Saw(now, zone, ok)
+			z.module.RecordOutcome(now, zone, ok)
 			n.zonesTell(now)
 		}
 	}
@@ -69,7 +69,7 @@
 		n.count.Add("zone states changed")
 		n.log.Info("zone-state", "zone", name, "state", state.String(), "share", z.module.Share(now, name))
 	}
-	if !z.again && z.module.Moving(now) {
+	if !z.again && z.module.InTransition(now) {
 		z.again = true
 		n.deadlines.Set(now+zoneLook, func(now time.Duration) {
 			if z.again = false; n.zones == z {
--- a/internal/operator/failover.go
+++ b/internal/operator/failover.go
@@ -15,20 +15,20 @@
 
 // failover reads the settings of the zone shares; what the file leaves out has its default.
 func (r *reader) failover(b *failoverBlock) *failover.Settings {
-	set := failover.Defaults
-	r.failoverSpan("warm", b.Warm, &set.Warm)
-	r.failoverSpan("span", b.Span, &set.Span)
-	r.part("cold_from", b.ColdFrom, 0, &set.ColdFrom)
-	r.part("enter", b.Enter, leastPart, &set.Enter)
-	r.part("leave", b.Leave, 0, &set.Leave)
-	r.part("swing", b.Swing, leastPart, &set.Swing)
+	set := failover.DefaultSettings
+	r.failoverSpan("warm", b.Warm, &set.WarmUp)
+	r.failoverSpan("span", b.Span, &set.DecayTime)
+	r.part("cold_from", b.ColdFrom, 0, &set.ColdCapacity)
+	r.part("enter", b.Enter, leastPart, &set.ShunThreshold)
+	r.part("leave", b.Leave, 0, &set.RecoverThreshold)
+	r.part("swing", b.Swing, leastPart, &set.MaxChangePerSecond)
 	if b.Least != nil {
-		if set.Least = *b.Least; *b.Least < 1 || *b.Least > mostLeast {
+		if set.MinOutcomes = *b.Least; *b.Least < 1 || *b.Least > mostLeast {
 			r.fail("", "", "least", "want a figure from 1 to 1000")
 		}
 	}
-	if set.Leave >= set.Enter {
-		r.fail("", "", "leave", "want less than enter (%g), or a zone would flap", set.Enter)
+	if set.RecoverThreshold >= set.ShunThreshold {
+		r.fail("", "", "leave", "want less than enter (%g), or a zone would flap", set.ShunThreshold)
 	}
 	return &set
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -143,8 +143,8 @@
 func TestFailover(t *testing.T) {
 	file, err := Parse([]byte("failover {\n  swing = 0.1\n  span  = \"5s\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
-	want := failover.Defaults
-	want.Swing, want.Span = 0.1, 5*time.Second
+	want := failover.DefaultSettings
+	want.MaxChangePerSecond, want.DecayTime = 0.1, 5*time.Second
 	assert.Equal(t, &want, file.Failover)
 	file, err = Parse([]byte("placement {}\n"), "f.hcl")
 	require.NoError(t, err)
