--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -11,8 +11,8 @@
 	"time"
 )
 
-// Most is the longest line, its end included.
-const Most = 4096
+// MaxLength is the longest line, its end included.
+const MaxLength = 4096
 
 // Errors of lines.
 var (
@@ -20,11 +20,11 @@
 	errNoOpen  = errors.New("want OPEN ID KEY LIST")
 )
 
-// Cut takes the first line off a buffer, its end included. It is empty where the line is not complete yet.
-func Cut(buf []byte) (line []byte, err error) {
+// Next takes the first line off a buffer, its end included. It is empty where the line is not complete yet.
+func Next(buf []byte) (line []byte, err error) {
 	i := bytes.IndexByte(buf, '\n')
 	switch {
-	case i >= Most, i < 0 && len(buf) >= Most:
+	case i >= MaxLength, i < 0 && len(buf) >= MaxLength:
 		return nil, ErrTooLong
 	case i < 0:
 		return nil, nil
@@ -53,8 +53,8 @@
 var kinds = map[string]Kind{"OPEN": Open, "PING": Ping, "STATS": Stats, "UP": Up, "BUSY": Busy, "BYE": Bye,
 	"MOVE": Move, "ERR": Err, "LOAD": Load, "PONG": Pong}
 
-// Command tells whether a line of this kind begins something at a balancer.
-func (k Kind) Command() bool { return k == Open || k == Ping || k == Stats }
+// IsCommand tells whether a line of this kind begins something at a balancer.
+func (k Kind) IsCommand() bool { return k == Open || k == Ping || k == Stats }
 
 // Parse tells the kind of a line and what follows its first word.
 func Parse(line []byte) (Kind, []byte) {
@@ -62,34 +62,34 @@
 	return kinds[string(word)], rest
 }
 
-// Field reads one figure of a load report such as inflight=7,util=0.61.
-func Field(report []byte, name string) (figure float64, ok bool) {
+// ReportField reads one figure of a load report such as inflight=7,util=0.61.
+func ReportField(report []byte, name string) (figure float64, ok bool) {
 	for _, field := range bytes.Split(report, []byte(",")) {
 		if n, value, _ := bytes.Cut(field, []byte("=")); string(n) == name {
-			return LoadOf(value)
+			return ParseLoad(value)
 		}
 	}
 	return 0, false
 }
 
-// LoadOf reads the figure of a LOAD line.
-func LoadOf(rest []byte) (level float64, ok bool) {
+// ParseLoad reads the figure of a LOAD line.
+func ParseLoad(rest []byte) (level float64, ok bool) {
 	level, err := strconv.ParseFloat(string(rest), 64)
 	return level, err == nil && level >= 0 && level <= 1e12
 }
 
-// Opening is a parsed OPEN line.
-type Opening struct {
+// OpenRequest is a parsed OPEN line.
+type OpenRequest struct {
 	ID       string
 	Class    string
 	Carrier  string // empty where none is told
 	Key      uint64
 	Group    uint64
 	HasGroup bool
-	Wait     time.Duration // how long the client waits
+	Timeout  time.Duration // how long the client waits
 	MidFlow  bool
 	Returned bool
-	At       string // the desk host that already holds the connection
+	HostID   string // the desk host that already holds the connection
 
 	text     []byte // the line as it came
 	from, to int    // where the figure of d stands in it
@@ -97,9 +97,9 @@
 
 const longestWait, longestHandOver = 24 * time.Hour, 40 * time.Second
 
-// ParseOpening reads an OPEN line. It keeps a copy of its bytes.
-func ParseOpening(line []byte) (Opening, error) {
-	o := Opening{text: bytes.Clone(line)}
+// ParseOpenRequest reads an OPEN line. It keeps a copy of its bytes.
+func ParseOpenRequest(line []byte) (OpenRequest, error) {
+	o := OpenRequest{text: bytes.Clone(line)}
 	body := bytes.TrimSuffix(bytes.TrimSuffix(o.text, []byte("\n")), []byte("\r"))
 	for _, c := range body {
 		if c < ' ' || c == 0x7f {
@@ -136,21 +136,21 @@
 	switch {
 	case o.Class == "":
 		return o, errors.New("OPEN lacks c")
-	case o.to == 0 && o.At == "":
+	case o.to == 0 && o.HostID == "":
 		return o, errors.New("OPEN lacks d")
 	case o.to == 0: // it stood before the run: nobody told how long to wait
-		o.Wait, o.from, o.to = longestHandOver, len(line), len(line)
+		o.Timeout, o.from, o.to = longestHandOver, len(line), len(line)
 	}
 	return o, nil
 }
 
-func (o *Opening) field(name string, value []byte, at int) (err error) {
+func (o *OpenRequest) field(name string, value []byte, at int) (err error) {
 	switch name {
 	case "c":
 		o.Class = string(value)
 	case "d":
 		ms, err := strconv.ParseUint(string(value), 10, 32)
-		if o.Wait = time.Duration(ms) * time.Millisecond; err != nil || o.Wait > longestWait {
+		if o.Timeout = time.Duration(ms) * time.Millisecond; err != nil || o.Timeout > longestWait {
 			return errors.New("want one figure in milliseconds")
 		}
 		o.from, o.to = at, at+len(value)
@@ -160,7 +160,7 @@
 		o.Group, err = hex(value)
 		o.HasGroup = true
 	case "h":
-		if _, ok := LoadOf(value); !ok {
+		if _, ok := ParseLoad(value); !ok {
 			return errors.New("want a figure")
 		}
 	case "mid":
@@ -170,7 +170,7 @@
 	case "r":
 		_, err = flag(value)
 	case "at":
-		o.At = string(value)
+		o.HostID = string(value)
 	}
 	return err
 }
@@ -199,11 +199,11 @@
 	return n, nil
 }
 
-// Text is the line as it came.
-func (o *Opening) Text() []byte { return o.text }
+// Raw is the line as it came.
+func (o *OpenRequest) Raw() []byte { return o.text }
 
 // Forward is the line as it came, but for how long the sender will wait: at least a millisecond.
-func (o *Opening) Forward(wait time.Duration) []byte {
+func (o *OpenRequest) Forward(wait time.Duration) []byte {
 	out := append([]byte(nil), o.text[:o.from]...)
 	if o.from == o.to {
 		return out
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -13,22 +13,22 @@
 const open = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59,mid=1,again=1,r=1,new=x\r\n"
 
 func TestOpeningGoesOnAsItCameButForItsWait(t *testing.T) {
-	o, err := ParseOpening([]byte(open))
+	o, err := ParseOpenRequest([]byte(open))
 	require.NoError(t, err)
 	assert.Equal(t, "chat", o.Class)
 	assert.Equal(t, uint64(0x7f3a9c21e0b4d655), o.Key)
 	assert.Equal(t, uint64(0x5c0f6e1a2b3d4c59), o.Group)
 	assert.True(t, o.HasGroup && o.MidFlow && o.Returned)
-	assert.Equal(t, 2*time.Second, o.Wait)
+	assert.Equal(t, 2*time.Second, o.Timeout)
 	assert.Equal(t, strings.Replace(open, "d=2000", "d=150", 1), string(o.Forward(150*time.Millisecond)))
 	assert.Equal(t, strings.Replace(open, "d=2000", "d=1", 1), string(o.Forward(-time.Second)))
 }
 
 func TestHandedOverNeedsNoWait(t *testing.T) {
-	o, err := ParseOpening([]byte("OPEN 1 a c=chat,at=s-1\n"))
+	o, err := ParseOpenRequest([]byte("OPEN 1 a c=chat,at=s-1\n"))
 	require.NoError(t, err)
-	assert.Equal(t, "s-1", o.At)
-	assert.Equal(t, 40*time.Second, o.Wait)
+	assert.Equal(t, "s-1", o.HostID)
+	assert.Equal(t, 40*time.Second, o.Timeout)
 	assert.Equal(t, "OPEN 1 a c=chat,at=s-1\n", string(o.Forward(time.Second)))
 }
 
@@ -39,34 +39,34 @@
 		"OPEN ../x a c=x,d=1", "OPEN " + strings.Repeat("1", 65) + " a c=x,d=1", "OPEN 1 a c=x,c=y,d=1", "OPEN 1 a c=x,d=1,t=a,t=b",
 		"OPEN 1 a c=x,d=soon", "OPEN 1 a c=x,d=1,h=NaN", "OPEN 1 a c=x,d=1,h=-1", "OPEN 1 a c=x,d=1,mid=yes", "OPEN 1 a c=x,d=1,r=2",
 		"OPEN 1 a c=x,d=1,again=11", "OPEN 1 -a c=x,d=1", "OPEN 1 a c=x,d="} {
-		_, err := ParseOpening([]byte(text + "\r\n"))
+		_, err := ParseOpenRequest([]byte(text + "\r\n"))
 		assert.Error(t, err, text)
 	}
 }
 
 func TestCut(t *testing.T) {
-	text, err := Cut([]byte("a\r\nb"))
+	text, err := Next([]byte("a\r\nb"))
 	assert.NoError(t, err)
 	assert.Equal(t, "a\r\n", string(text))
-	text, err = Cut([]byte("b"))
+	text, err = Next([]byte("b"))
 	assert.NoError(t, err)
 	assert.Empty(t, text)
-	longest := append(bytes.Repeat([]byte("x"), Most-1), '\n')
-	text, err = Cut(longest)
+	longest := append(bytes.Repeat([]byte("x"), MaxLength-1), '\n')
+	text, err = Next(longest)
 	assert.NoError(t, err)
-	assert.Len(t, text, Most)
-	_, err = Cut(append([]byte("x"), longest...))
+	assert.Len(t, text, MaxLength)
+	_, err = Next(append([]byte("x"), longest...))
 	assert.ErrorIs(t, err, ErrTooLong)
-	_, err = Cut(bytes.Repeat([]byte("x"), Most))
+	_, err = Next(bytes.Repeat([]byte("x"), MaxLength))
 	assert.ErrorIs(t, err, ErrTooLong)
 }
 
 func TestFigures(t *testing.T) {
-	x0, ok := Field([]byte("eps=0,util=0.61,x0=1.25"), "x0")
+	x0, ok := ReportField([]byte("eps=0,util=0.61,x0=1.25"), "x0")
 	assert.True(t, ok)
 	assert.Equal(t, 1.25, x0)
 	for _, text := range []string{"", "x0", "x0=", "x0=NaN", "x0=-1", "x0=1e99", "xx0=1"} {
-		_, ok := Field([]byte(text), "x0")
+		_, ok := ReportField([]byte(text), "x0")
 		assert.False(t, ok, text)
 	}
 	kind, rest := Parse([]byte("LOAD 7.5\r\n"))
@@ -84,12 +84,12 @@
 	f.Add([]byte("OPEN 1 a c=x,d=99999999999999999999,h=1e999,d=-5"))
 	f.Add([]byte("OPEN 9b1f03aa5c7e2d41"))
 	f.Fuzz(func(t *testing.T, text []byte) {
-		o, err := ParseOpening(text)
+		o, err := ParseOpenRequest(text)
 		if err != nil {
 			return
 		}
-		out := o.Forward(o.Wait)
-		again, err := ParseOpening(out)
+		out := o.Forward(o.Timeout)
+		again, err := ParseOpenRequest(out)
 		require.NoError(t, err)
 		assert.Equal(t, o.Key, again.Key)
 		assert.Equal(t, o.Class, again.Class)
@@ -101,14 +101,14 @@
 
 func FuzzCut(f *testing.F) {
 	f.Add([]byte("UP r\r\nLOAD 3\r\n"))
-	f.Add(bytes.Repeat([]byte("k"), 2*Most))
+	f.Add(bytes.Repeat([]byte("k"), 2*MaxLength))
 	f.Add([]byte("LOAD NaN\r\nLOAD -1\r\nLOAD 1e999\r\n\r\n\n"))
 	f.Fuzz(func(t *testing.T, buf []byte) {
-		text, err := Cut(buf)
+		text, err := Next(buf)
 		if err == nil && len(text) > 0 {
-			assert.True(t, bytes.HasPrefix(buf, text) && len(text) <= Most && bytes.IndexByte(text, '\n') == len(text)-1)
+			assert.True(t, bytes.HasPrefix(buf, text) && len(text) <= MaxLength && bytes.IndexByte(text, '\n') == len(text)-1)
 			_, rest := Parse(text)
-			Field(rest, "x0")
+			ReportField(rest, "x0")
 		}
 	})
 }
--- a/internal/net/dial.go
+++ b/internal/net/dial.go
@@ -34,7 +34,7 @@
 	if wait <= 0 {
 		wait = dialTimeout
 	}
-	if d.opening.At != "" { // all come at once, and none has anywhere else to go
+	if d.opening.HostID != "" { // all come at once, and none has anywhere else to go
 		wait = until - n.now()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), min(wait, until-n.now()))
--- a/internal/net/downstream.go
+++ b/internal/net/downstream.go
@@ -20,7 +20,7 @@
 	id   slot.ID
 	inbound
 	request  slot.ID
-	opening  line.Opening
+	opening  line.OpenRequest
 	taken    bool // its OPEN came: lines that follow wait for UP
 	upstream *upstream
 	ending   bool // we have said our last; what still comes is thrown away
@@ -85,7 +85,7 @@
 			return
 		}
 		buf := d.peek()
-		text, err := line.Cut(buf)
+		text, err := line.Next(buf)
 		if err != nil {
 			d.malformed(now, err)
 			return
@@ -120,7 +120,7 @@
 		}
 		d.silent(now, d.node.patience, noRequest)
 	case line.Open:
-		opening, err := line.ParseOpening(text)
+		opening, err := line.ParseOpenRequest(text)
 		if err == nil {
 			err = d.node.refusal(opening)
 		}
@@ -135,7 +135,7 @@
 }
 
 // refusal tells what speaks against an opening that can be read.
-func (n *Node) refusal(o line.Opening) error {
+func (n *Node) refusal(o line.OpenRequest) error {
 	if _, known := n.cfg.Settings.Policy.Classes[o.Class]; !known {
 		n.table.CountUnknownClass(o.Class)
 		return fmt.Errorf("no class %q", o.Class)
@@ -162,7 +162,7 @@
 // margin is taken off a client's time, for the way of our answer.
 const margin = 20 * time.Millisecond
 
-func (d *downstream) open(now time.Duration, o line.Opening) {
+func (d *downstream) open(now time.Duration, o line.OpenRequest) {
 	n := d.node
 	d.opening, d.taken = o, true
 	n.lastOpen = now
@@ -181,14 +181,14 @@
 	}
 	n.deadlines.Stop(d.limit)
 	n.count.Add("operations taken")
-	n.trace("taken", "id", o.ID, "key", n.groupKey(o), "group", o.Group, "class", o.Class, "wait", o.Wait, "returned", o.Returned,
-		"mid", o.MidFlow, "at", o.At)
+	n.trace("taken", "id", o.ID, "key", n.groupKey(o), "group", o.Group, "class", o.Class, "wait", o.Timeout, "returned", o.Returned,
+		"mid", o.MidFlow, "at", o.HostID)
 	q := n.request(o)
 	// The number of a request is known only when it has been taken, yet its first attempt or answer
 	// comes before that; it finds this downstream by its own number.
-	if o.At != "" {
+	if o.HostID != "" {
 		n.count.Add("operations handed over")
-		d.request = n.table.SubmitMidFlow(now, d.id, q, o.At)
+		d.request = n.table.SubmitMidFlow(now, d.id, q, o.HostID)
 		return
 	}
 	if o.MidFlow {
@@ -198,13 +198,13 @@
 }
 
 // request is an opening as the module takes it.
-func (n *Node) request(o line.Opening) policy.Request {
-	return policy.Request{ID: o.ID, Class: o.Class, Key: n.groupKey(o), HasKey: true, TTL: max(o.Wait-margin, 0),
+func (n *Node) request(o line.OpenRequest) policy.Request {
+	return policy.Request{ID: o.ID, Class: o.Class, Key: n.groupKey(o), HasKey: true, TTL: max(o.Timeout-margin, 0),
 		MidFlow: o.MidFlow, Reconnecting: o.Returned, Tenant: o.Carrier}
 }
 
 // groupKey is what an opening is placed by: its group's key where groups are on, else its own.
-func (n *Node) groupKey(o line.Opening) uint64 {
+func (n *Node) groupKey(o line.OpenRequest) uint64 {
 	if n.cfg.Settings.Groups && o.HasGroup {
 		return o.Group
 	}
--- a/internal/net/drain.go
+++ b/internal/net/drain.go
@@ -82,8 +82,8 @@
 
 // tooLate tells that a request is not begun any more. Danger: where packets pass through, a drain goes on after the latest
 // moment, but may be killed in any one after it, and what it had taken would be lost. Open connections are carried on.
-func (n *Node) tooLate(o line.Opening) bool {
-	return n.overdue && n.leading && n.cfg.Settings.PassThrough && !o.MidFlow && o.At == ""
+func (n *Node) tooLate(o line.OpenRequest) bool {
+	return n.overdue && n.leading && n.cfg.Settings.PassThrough && !o.MidFlow && o.HostID == ""
 }
 
 // dismissResting tells clients that rest to go. Danger: where packets pass through, this process may be killed in any moment
--- a/internal/net/inbound.go
+++ b/internal/net/inbound.go
@@ -65,7 +65,7 @@
 // pull takes in what has come and the loop has not read yet, two lines at the most, and tells whether there was any. The
 // end of the connection is left to the loop, which hears of it by itself.
 func (i *inbound) pull() (any bool) {
-	buf := make([]byte, 2*line.Most)
+	buf := make([]byte, 2*line.MaxLength)
 	n, err := uninterrupted(func() (int, error) { return syscall.Read(i.conn.Fd(), buf) })
 	if err != nil || n <= 0 {
 		return false
--- a/internal/net/inherit.go
+++ b/internal/net/inherit.go
@@ -21,7 +21,7 @@
 
 // inheritStanding goes on with a connection that stands.
 func (n *Node) inheritStanding(now time.Duration, m handover.Message) []socket {
-	o, err := line.ParseOpening(m.OpenLine)
+	o, err := line.ParseOpenRequest(m.OpenLine)
 	if err != nil {
 		return nil
 	}
@@ -53,7 +53,7 @@
 		}
 		n.count.Add("client connections passed on")
 	case u != nil && u.up && u.conn != nil && u.conn.OutboundBuffered() == 0:
-		m := handover.Message{Kind: handover.KindEstablished, Server: u.server, OpenLine: d.opening.Text(), FromClient: kept,
+		m := handover.Message{Kind: handover.KindEstablished, Server: u.server, OpenLine: d.opening.Raw(), FromClient: kept,
 			FromHost: bytes.Clone(u.peek())}
 		if !n.link.send(m, d.conn, u.conn) {
 			return false
--- a/internal/net/parcel.go
+++ b/internal/net/parcel.go
@@ -30,7 +30,7 @@
 	if len(p.files) == 0 || p.last == "" {
 		return
 	}
-	client, unread := p.files[0], make([]byte, 2*line.Most)
+	client, unread := p.files[0], make([]byte, 2*line.MaxLength)
 	for range mostUnread {
 		if n, err := syscall.Read(client, unread); err != nil || n <= 0 {
 			break
--- a/internal/net/probe.go
+++ b/internal/net/probe.go
@@ -173,7 +173,7 @@
 func (p *probe) traffic(now time.Duration) {
 	for p.conn != nil {
 		buf, _ := p.conn.Peek(-1)
-		text, err := line.Cut(buf)
+		text, err := line.Next(buf)
 		if err != nil {
 			p.close()
 			return
@@ -186,10 +186,10 @@
 		kind, rest := line.Parse(text)
 		answered := kind == line.Pong // danger: one that has just started has no figures yet, and is no less well
 		if answered {
-			if x0, ok := line.Field(rest, "x0"); ok {
-				util, ok := line.Field(rest, "cpu")
+			if x0, ok := line.ReportField(rest, "x0"); ok {
+				util, ok := line.ReportField(rest, "cpu")
 				if !ok {
-					util, _ = line.Field(rest, "util")
+					util, _ = line.ReportField(rest, "util")
 				}
 				p.lag.report.learn(now, x0, util)
 				p.node.trace("report", "host", p.server, "x0", x0, "util", util, "backlog", p.lag.report.backlog)
--- a/internal/net/relay.go
+++ b/internal/net/relay.go
@@ -24,7 +24,7 @@
 	}
 	end := 0
 	for end < len(buf) {
-		text, err := line.Cut(buf[end:])
+		text, err := line.Next(buf[end:])
 		if err != nil {
 			d.malformed(now, err)
 			u.close(now, false, policy.Cancelled)
@@ -48,11 +48,11 @@
 
 // early tells what is wrong with what a client sends before it has its answer. Most wait; a command cannot.
 func early(buf []byte, most int) error {
-	text, err := line.Cut(buf)
+	text, err := line.Next(buf)
 	if err != nil {
 		return err
 	}
-	if kind, _ := line.Parse(text); kind.Command() {
+	if kind, _ := line.Parse(text); kind.IsCommand() {
 		return errors.New("a command before the answer to OPEN")
 	}
 	if len(buf) > most {
--- a/internal/net/room.go
+++ b/internal/net/room.go
@@ -106,7 +106,7 @@
 	if n.cfg.MemoryMB <= 0 || n.cfg.Sockets <= 0 {
 		return mostBuffered
 	}
-	return min(max(int(n.cfg.MemoryMB<<20)/4/n.cfg.Sockets, 2*line.Most), mostBuffered)
+	return min(max(int(n.cfg.MemoryMB<<20)/4/n.cfg.Sockets, 2*line.MaxLength), mostBuffered)
 }
 
 const mostBuffered = 256 << 10
--- a/internal/net/standing.go
+++ b/internal/net/standing.go
@@ -11,7 +11,7 @@
 	n, d := u.node, u.downstream
 	end := 0
 	for end < len(buf) {
-		text, err := line.Cut(buf[end:])
+		text, err := line.Next(buf[end:])
 		if err != nil || len(text) == 0 {
 			break // too long: the next call finds it in front
 		}
@@ -19,7 +19,7 @@
 		n.count.Add("lines from desk hosts")
 		switch kind, rest := line.Parse(text); kind {
 		case line.Load:
-			if level, ok := line.LoadOf(rest); ok {
+			if level, ok := line.ParseLoad(rest); ok {
 				n.table.Note(now, d.request, policy.MetricLoad, level)
 			}
 		case line.Bye:
--- a/internal/net/trace_test.go
+++ b/internal/net/trace_test.go
@@ -25,8 +25,8 @@
 	return n
 }
 
-func opening(t *testing.T) line.Opening {
-	o, err := line.ParseOpening([]byte("OPEN me-1 5c0f c=lookup,d=1200,g=10\r\n"))
+func opening(t *testing.T) line.OpenRequest {
+	o, err := line.ParseOpenRequest([]byte("OPEN me-1 5c0f c=lookup,d=1200,g=10\r\n"))
 	require.NoError(t, err)
 	return o
 }
--- a/internal/net/upstream.go
+++ b/internal/net/upstream.go
@@ -71,7 +71,7 @@
 	u.node.delays.of(u.server).heardAt = now
 	for u.buffered() > 0 && !u.over {
 		buf := u.peek()
-		text, err := line.Cut(buf)
+		text, err := line.Next(buf)
 		if err != nil {
 			u.node.count.Add("desk hosts cut off: line too long")
 			u.close(now, true, policy.Reset)
