--- a/cmd/tealtiller/check.go
+++ b/cmd/tealtiller/check.go
@@ -21,10 +21,10 @@
 
 // Run checks each file and tells every error of all of them.
 func (c check) Run(out io.Writer) error {
-	var all operator.Error
+	var all operator.ErrorList
 	for _, path := range c.Files {
 		_, err := operator.Load(path)
-		var several operator.Error
+		var several operator.ErrorList
 		switch {
 		case err == nil:
 			fmt.Fprintf(out, "%s: good\n", path)
--- a/cmd/tealtiller/main.go
+++ b/cmd/tealtiller/main.go
@@ -38,7 +38,7 @@
 		kong.Description("A balancer for long-lived connections. Its environment tells it all it needs (README.md)."))
 	k.BindTo(os.Stdout, (*io.Writer)(nil))
 	if err := k.Run(&c); err != nil {
-		var all operator.Error
+		var all operator.ErrorList
 		if errors.As(err, &all) {
 			for _, line := range all {
 				fmt.Fprintln(os.Stderr, line)
--- a/cmd/tealtiller/main_test.go
+++ b/cmd/tealtiller/main_test.go
@@ -42,7 +42,7 @@
 	a, b := write("a.hcl", "cells {\n default = \"x\"\n cell \"y\" {}\n}\n"), write("b.hcl", "nonsense {}\n")
 	var out bytes.Buffer
 	err := check{Files: []string{a, good, b, filepath.Join(folder, "none")}}.Run(&out)
-	var all operator.Error
+	var all operator.ErrorList
 	require.ErrorAs(t, err, &all)
 	assert.Len(t, all, 4)
 	assert.Equal(t, good+": good\n", out.String())
@@ -92,7 +92,7 @@
 	out.Reset()
 	require.NoError(t, run("plan", "diff", in("a"), in("b")))
 	assert.Contains(t, out.String(), "2 are no longer named")
-	var all operator.Error
+	var all operator.ErrorList
 	require.ErrorAs(t, run("plan", "check", in("a"), in("fleet")), &all)
 	assert.Len(t, all, 1)
 	assert.Error(t, run("plan", "--in", in("fleet"), "--even", "0.5"))
--- a/cmd/tealtiller/plan.go
+++ b/cmd/tealtiller/plan.go
@@ -134,7 +134,7 @@
 }
 
 func (c planCheck) Run(out io.Writer) error {
-	var all operator.Error
+	var all operator.ErrorList
 	for _, path := range c.Files {
 		p, err := readPlan(path)
 		if err != nil {
--- a/internal/net/record.go
+++ b/internal/net/record.go
@@ -27,19 +27,19 @@
 func (r *recorder) turn(n *Node, now time.Duration) {
 	p := n.cfg.Placement
 	n.deadlines.Stop(r.next)
-	if r.file != p.Record && r.out != nil {
+	if r.file != p.RecordPath && r.out != nil {
 		close(r.out)
 		r.out, r.fail = nil, false
 	}
-	if r.file = p.Record; r.file == "" {
+	if r.file = p.RecordPath; r.file == "" {
 		return
 	}
-	p.Record = strings.ReplaceAll(p.Record, "{name}", n.cfg.Name)
+	p.RecordPath = strings.ReplaceAll(p.RecordPath, "{name}", n.cfg.Name)
 	if r.out == nil {
 		r.out = make(chan []byte, mostRecords)
 		go write(p, r.out, func(err error) { n.post(func(time.Duration) { r.wrote(n, err) }) })
 	}
-	r.next = n.deadlines.Set(now+p.Every, func(now time.Duration) {
+	r.next = n.deadlines.Set(now+p.RecordInterval, func(now time.Duration) {
 		r.record(n, now)
 		r.turn(n, now)
 	})
@@ -99,12 +99,12 @@
 }
 
 func add(p operator.Placement, text []byte) error {
-	if info, err := os.Stat(p.Record); err == nil && info.Size()+int64(len(text)) > p.Largest {
-		if err := os.Rename(p.Record, p.Record+".1"); err != nil {
+	if info, err := os.Stat(p.RecordPath); err == nil && info.Size()+int64(len(text)) > p.MaxRecordBytes {
+		if err := os.Rename(p.RecordPath, p.RecordPath+".1"); err != nil {
 			return err
 		}
 	}
-	f, err := os.OpenFile(p.Record, os.O_APPEND|os.O_CREATE|os.O_RDWR, 0o644)
+	f, err := os.OpenFile(p.RecordPath, os.O_APPEND|os.O_CREATE|os.O_RDWR, 0o644)
 	if err != nil {
 		return err
 	}
--- a/internal/net/record_test.go
+++ b/internal/net/record_test.go
@@ -49,17 +49,17 @@
 func TestHalfARecordCostsNoOther(t *testing.T) {
 	const whole = `{"v":1,"at":1000,"balancer":"a","hosts":[{"id":"h0","x0":0.5,"age_ms":1}]}` + "\n"
 	for cut := range len(whole) {
-		p := operator.Placement{Record: filepath.Join(t.TempDir(), "seen"), Largest: 1 << 20}
-		require.NoError(t, os.WriteFile(p.Record, []byte(whole+whole[:cut]), 0o600))
+		p := operator.Placement{RecordPath: filepath.Join(t.TempDir(), "seen"), MaxRecordBytes: 1 << 20}
+		require.NoError(t, os.WriteFile(p.RecordPath, []byte(whole+whole[:cut]), 0o600))
 		require.NoError(t, add(p, []byte(whole)))
-		text, err := os.ReadFile(p.Record)
+		text, err := os.ReadFile(p.RecordPath)
 		require.NoError(t, err)
 		require.True(t, bytes.HasSuffix(text, []byte("\n"+whole)), "%q", text)
 		refused := 1
 		if cut == 0 || cut == len(whole)-1 { // nothing is left of it, or all but its end
 			refused = 0
 		}
-		require.Equal(t, refused, read(t, p.Record).Refused, "%q", text)
+		require.Equal(t, refused, read(t, p.RecordPath).Refused, "%q", text)
 	}
 }
 
@@ -83,7 +83,7 @@
 	if _, err := os.Stat("/dev/full"); err != nil {
 		t.Skip("no such device here")
 	}
-	err := add(operator.Placement{Record: "/dev/full", Largest: 1 << 20}, []byte("{}\n"))
+	err := add(operator.Placement{RecordPath: "/dev/full", MaxRecordBytes: 1 << 20}, []byte("{}\n"))
 	assert.ErrorContains(t, err, "no space left on device")
 }
 
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -28,17 +28,17 @@
 
 // Placement is where a plan is read and what a balancer sees is recorded.
 type Placement struct {
-	Plan    *placement.Plan // nil: no plan
-	Path    string          // of the plan
-	Record  string          // path of the record file; empty: none is written
-	Every   time.Duration   // from one record to the next
-	Largest int64           // bytes of a record file, from where on it is begun anew
+	Plan           *placement.Plan // nil: no plan
+	PlanPath       string          // of the plan
+	RecordPath     string          // path of the record file; empty: none is written
+	RecordInterval time.Duration   // from one record to the next
+	MaxRecordBytes int64           // bytes of a record file, from where on it is begun anew
 }
 
-// Error is all that is wrong with a file, one place a line.
-type Error []string
+// ErrorList is all that is wrong with a file, one place a line.
+type ErrorList []string
 
-func (e Error) Error() string {
+func (e ErrorList) Error() string {
 	if len(e) == 1 {
 		return e[0]
 	}
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -69,12 +69,12 @@
 		text := strings.Replace(good, mistake[0], mistake[1], 1)
 		require.NotEqual(t, good, text)
 		_, err := Parse([]byte(text), "f.hcl")
-		var all Error
+		var all ErrorList
 		require.ErrorAs(t, err, &all, mistake[1])
 		assert.True(t, strings.HasPrefix(all[0], mistake[2]), "%s: %s", mistake[1], all[0])
 	}
 	_, err := Parse([]byte(strings.NewReplacer(`"10m"`, `"soon"`, `0.5`, `0.9`, `["x"]`, `["x", "x"]`).Replace(good)), "f.hcl")
-	var all Error
+	var all ErrorList
 	require.ErrorAs(t, err, &all)
 	assert.Len(t, all, 3)
 	assert.ErrorContains(t, err, "2 more")
@@ -100,7 +100,7 @@
 	f.Fuzz(func(t *testing.T, text []byte) {
 		file, err := Parse(text, "f.hcl")
 		if err != nil {
-			var all Error
+			var all ErrorList
 			require.ErrorAs(t, err, &all)
 			for _, line := range all {
 				assert.True(t, strings.HasPrefix(line, "f.hcl:"), line)
@@ -121,8 +121,8 @@
 	parse := func(text string) (*File, error) { return Parse([]byte(text), filepath.Join(folder, "o.hcl")) }
 	f, err := parse("placement {\n plan = \"p.json\"\n record = \"r\"\n}\ncells {\n default = \"north\"\n cell \"north\" {\n share = 1\n}\n}\n")
 	require.NoError(t, err)
-	assert.Equal(t, Placement{Plan: f.Placement.Plan, Path: filepath.Join(folder, "p.json"), Record: filepath.Join(folder, "r"), Every: 5 * time.Second,
-		Largest: 64 << 20}, f.Placement)
+	assert.Equal(t, Placement{Plan: f.Placement.Plan, PlanPath: filepath.Join(folder, "p.json"), RecordPath: filepath.Join(folder, "r"), RecordInterval: 5 * time.Second,
+		MaxRecordBytes: 64 << 20}, f.Placement)
 	cell, ok := f.Cells.PlacementCell(time.Duration(f.Placement.Plan.Born.UnixNano()), "x", 0x1f)
 	assert.True(t, ok)
 	assert.Equal(t, "north", cell)
@@ -153,7 +153,7 @@
 		`span = "soon"`: "2:10: want a span", "\n  enter = 0.3\n  leave = 0.5": "4:11: want less than enter (0.3)",
 		"least = 0": "2:11: want a figure from 1", "cold_from = 2": "2:15: want a figure from 0 to 1"} {
 		_, err := Parse([]byte("failover {\n  "+text+"\n}\n"), "f.hcl")
-		var all Error
+		var all ErrorList
 		require.ErrorAs(t, err, &all, text)
 		assert.True(t, strings.HasPrefix(all[0], "f.hcl:"+at), "%q: %s", text, all[0])
 	}
--- a/internal/operator/placement.go
+++ b/internal/operator/placement.go
@@ -23,21 +23,21 @@
 
 // placement reads where the plan is, what it says, and where records are written.
 func (r *reader) placement(b *placementBlock, folder string, out *Placement) {
-	*out = Placement{Record: within(folder, b.Record), Every: usualEvery, Largest: usualLargest << 20}
+	*out = Placement{RecordPath: within(folder, b.Record), RecordInterval: usualEvery, MaxRecordBytes: usualLargest << 20}
 	if b.Every != "" {
-		out.Every = r.span("record_every", b.Every, leastEvery, mostEvery, "100ms to 1h")
+		out.RecordInterval = r.span("record_every", b.Every, leastEvery, mostEvery, "100ms to 1h")
 	}
 	if b.LargestMB != nil {
-		if out.Largest = int64(*b.LargestMB) << 20; *b.LargestMB < 1 || *b.LargestMB > mostLargest {
+		if out.MaxRecordBytes = int64(*b.LargestMB) << 20; *b.LargestMB < 1 || *b.LargestMB > mostLargest {
 			r.fail("", "", "record_largest_mb", "want a figure from 1 on")
 		}
 	}
 	if b.Plan == "" {
 		return
 	}
-	out.Path = within(folder, b.Plan)
+	out.PlanPath = within(folder, b.Plan)
 	var err error
-	if out.Plan, err = readPlan(out.Path); err != nil {
+	if out.Plan, err = readPlan(out.PlanPath); err != nil {
 		r.fail("", "", "plan", "%s: %v", b.Plan, err)
 	}
 }
--- a/internal/operator/reader.go
+++ b/internal/operator/reader.go
@@ -47,7 +47,7 @@
 	slices.SortStableFunc(r.errors, func(a, b fault) int {
 		return cmp.Or(cmp.Compare(a.at.Start.Line, b.at.Start.Line), cmp.Compare(a.at.Start.Column, b.at.Start.Column))
 	})
-	var out Error
+	var out ErrorList
 	for _, f := range r.errors {
 		out = append(out, fmt.Sprintf("%s:%d:%d: %s", name, f.at.Start.Line, f.at.Start.Column, f.text))
 	}
