--- a/cmd/tealtiller/main.go
+++ b/cmd/tealtiller/main.go
@@ -97,8 +97,8 @@
 		return err
 	}
 	known := &discovery.List{}
-	if len(terms.Known) > 0 {
-		if known, err = discovery.Parse(terms.Known); err != nil {
+	if len(terms.KnownHosts) > 0 {
+		if known, err = discovery.Parse(terms.KnownHosts); err != nil {
 			return fmt.Errorf("configuration: known: %w", err)
 		}
 	}
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -47,7 +47,7 @@
 func Parse(raw []byte) (*List, error) {
 	list, versioned, listed, named := &List{}, false, false, map[string]bool{}
 	l := &jlexer.Lexer{Data: raw}
-	settings.Object(l, func(field string) {
+	settings.ForEachField(l, func(field string) {
 		switch field {
 		case "revision":
 			list.Revision, versioned = l.Int64(), true
@@ -55,7 +55,7 @@
 			list.Complete = l.Bool()
 		case "members":
 			listed = true
-			settings.Array(l, func() {
+			settings.ForEachElement(l, func() {
 				m, err := member(l)
 				if err != nil {
 					l.AddError(err)
@@ -82,7 +82,7 @@
 
 func member(l *jlexer.Lexer) (m Member, err error) {
 	var address, phase string
-	settings.Object(l, func(field string) {
+	settings.ForEachField(l, func(field string) {
 		switch field {
 		case "id":
 			m.ID = l.String()
--- a/internal/net/delay.go
+++ b/internal/net/delay.go
@@ -122,7 +122,7 @@
 		if l.waiting > 0 {
 			every = look
 		}
-		if n.cfg.Settings.Probes && now-l.probedAt >= every && (l.seen || !s.many) { // many ask when they place
+		if n.cfg.Settings.ProbesAllowed && now-l.probedAt >= every && (l.seen || !s.many) { // many ask when they place
 			l.fresh, l.probedAt = false, now
 			n.ask(server, l, now)
 		}
@@ -143,7 +143,7 @@
 // silent is how long the desk host has left a line without an answer. Danger: a connection may fall silent alone;
 // to take its desk host to be slow for it would move all others that stand there. So a probe must have failed too.
 func (l *lag) silent(n *Node, now time.Duration) time.Duration {
-	if n.cfg.Settings.Probes && l.missedAt < now-l.waiting {
+	if n.cfg.Settings.ProbesAllowed && l.missedAt < now-l.waiting {
 		return 0
 	}
 	return l.waiting
--- a/internal/net/downstream.go
+++ b/internal/net/downstream.go
@@ -151,7 +151,7 @@
 
 // busyLine refuses; where the settings allow it, it tells when to come back.
 func (n *Node) busyLine(retryAfter time.Duration) string {
-	if retryAfter <= 0 || !n.cfg.Settings.RetryAfter {
+	if retryAfter <= 0 || !n.cfg.Settings.SendRetryAfter {
 		return "BUSY\r\n"
 	}
 	return fmt.Sprintf("BUSY %d\r\n", (retryAfter+time.Millisecond-1)/time.Millisecond)
@@ -205,7 +205,7 @@
 
 // groupKey is what an opening is placed by: its group's key where groups are on, else its own.
 func (n *Node) groupKey(o line.OpenRequest) uint64 {
-	if n.cfg.Settings.Groups && o.HasGroup {
+	if n.cfg.Settings.KeyByGroup && o.HasGroup {
 		return o.Group
 	}
 	return o.Key
--- a/internal/net/drain.go
+++ b/internal/net/drain.go
@@ -36,7 +36,7 @@
 
 // latest is the moment up to which what was taken may be served.
 func (n *Node) latest(now time.Duration) time.Duration {
-	return now + min(n.cfg.Settings.Deadline, mostWait) + answerBy
+	return now + min(n.cfg.Settings.MaxDeadline, mostWait) + answerBy
 }
 
 // drained ends the process once nothing is left to do here, and looks again until then.
@@ -148,7 +148,7 @@
 // who asks again after a second, finds nobody. Packets of those that have begun pass. Where the system refuses that, what
 // remains is to look at the queue.
 func (n *Node) admitHandshakes(open bool) {
-	fd, err := n.engine.DupListener("tcp", n.cfg.Listen)
+	fd, err := n.engine.DupListener("tcp", n.cfg.ListenAddr)
 	if err != nil {
 		return
 	}
--- a/internal/net/inherit.go
+++ b/internal/net/inherit.go
@@ -75,8 +75,8 @@
 
 // shareOut tells the younger process how many descriptors it may have; the rest is for us.
 func (n *Node) shareOut(most int) {
-	if n.cfg.Sockets > 0 && n.link.send(handover.Message{Kind: handover.KindDescriptorLimit, Number: most}) {
-		n.share = n.cfg.Sockets - most
+	if n.cfg.MaxSockets > 0 && n.link.send(handover.Message{Kind: handover.KindDescriptorLimit, Number: most}) {
+		n.share = n.cfg.MaxSockets - most
 	}
 }
 
@@ -98,7 +98,7 @@
 	}
 	if n.link != nil && n.link.elder {
 		if needs := n.share - n.left() + apprentice; needs < n.share { // what has gone makes room there
-			n.shareOut(n.cfg.Sockets - needs)
+			n.shareOut(n.cfg.MaxSockets - needs)
 		}
 	}
 	if n.downstreams.Len() > 0 || n.table.Len() > 0 {
@@ -114,7 +114,7 @@
 // shut ends the listener if nobody waits there. Danger: ending it resets those that do, so nothing may come between
 // the question and the end, not even our report.
 func (n *Node) shut() bool {
-	fd, err := n.engine.DupListener("tcp", n.cfg.Listen)
+	fd, err := n.engine.DupListener("tcp", n.cfg.ListenAddr)
 	if err != nil {
 		return !failedHere(err) // else it has ended already
 	}
--- a/internal/net/node.go
+++ b/internal/net/node.go
@@ -109,7 +109,7 @@
 		booted: make(chan struct{}), stopped: make(chan struct{}), silence: silence,
 		patience: mostSilent, probeWait: probeTimeout, listWait: firstListWait, allowed: allowed()}
 	n.connect = (&stdnet.Dialer{KeepAlive: -1}).DialContext
-	n.watch = newWatch(n, cfg.Discovery)
+	n.watch = newWatch(n, cfg.DiscoveryAddr)
 	n.delays = newDelays()
 	n.wall = newWall(n.origin)
 	n.tracing = log.Enabled(context.Background(), slog.LevelDebug)
@@ -121,14 +121,14 @@
 func (n *Node) Run() error {
 	failed := make(chan error, 1)
 	n.join()
-	addresses := []string{"tcp://" + n.cfg.Listen}
-	if n.cfg.Admin != "" {
-		at, err := stdnet.ResolveTCPAddr("tcp", n.cfg.Admin)
+	addresses := []string{"tcp://" + n.cfg.ListenAddr}
+	if n.cfg.AdminAddr != "" {
+		at, err := stdnet.ResolveTCPAddr("tcp", n.cfg.AdminAddr)
 		if err != nil {
 			return fmt.Errorf("second address: %w", err)
 		}
 		n.admin = at.String()
-		addresses = append(addresses, "tcp://"+n.cfg.Admin)
+		addresses = append(addresses, "tcp://"+n.cfg.AdminAddr)
 	}
 	go func() {
 		failed <- gnet.Rotate(n, addresses, gnet.WithNumEventLoop(1), gnet.WithReuseAddr(true),
@@ -176,7 +176,7 @@
 		n.reweigh(now)
 		n.delays.next(n, now)
 		n.recorder.turn(n, now)
-		n.log.Info("ready", "listen", n.cfg.Listen, "hosts", len(n.known.Members), "cells", n.cfg.CellPlan.CellCount())
+		n.log.Info("ready", "listen", n.cfg.ListenAddr, "hosts", len(n.known.Members), "cells", n.cfg.CellPlan.CellCount())
 	})
 }
 
--- a/internal/net/node_test.go
+++ b/internal/net/node_test.go
@@ -32,7 +32,7 @@
 func TestDuplicatesCountUntilTheyAreClosed(t *testing.T) {
 	loop := slowLoop{enrolled: make(chan gnet.RegisteredResult, 1), events: make(chan gnet.Runnable, 1)}
 	n := &Node{loop: loop, origin: time.Now()}
-	n.cfg.Sockets = own + 10
+	n.cfg.MaxSockets = own + 10
 	n.dialling = 1
 	done := make(chan error, 1)
 	go func() { done <- n.enroll(&probe{}, nil) }()
--- a/internal/net/probe_test.go
+++ b/internal/net/probe_test.go
@@ -74,7 +74,7 @@
 	n := &Node{}
 	l := &lag{waiting: time.Second, missedAt: 8 * time.Second}
 	assert.Equal(t, time.Second, l.silent(n, 10*time.Second), "without probes there is no other sign")
-	n.cfg.Settings.Probes = true
+	n.cfg.Settings.ProbesAllowed = true
 	assert.Zero(t, l.silent(n, 10*time.Second), "that probe failed before the line was sent")
 	l.missedAt = 9500 * time.Millisecond
 	assert.Equal(t, time.Second, l.silent(n, 10*time.Second))
--- a/internal/net/reload.go
+++ b/internal/net/reload.go
@@ -19,8 +19,8 @@
 func (n *Node) Reload(load func() (NodeConfig, error)) {
 	<-n.booted
 	cfg, err := load()
-	if err == nil && len(cfg.Known) > 0 {
-		_, err = discovery.Parse(cfg.Known) // only checked: what discovery has told since is newer
+	if err == nil && len(cfg.KnownHosts) > 0 {
+		_, err = discovery.Parse(cfg.KnownHosts) // only checked: what discovery has told since is newer
 	}
 	n.post(func(time.Duration) {
 		if err != nil {
@@ -35,10 +35,10 @@
 // reloaded swaps in what has changed. Requests, the list and all that is known of hosts stay.
 func (n *Node) reloaded(cfg NodeConfig) {
 	n.count.Add("configurations taken in")
-	n.log.Info("configuration-taken", "discovery", cfg.Discovery, "cells", cfg.CellPlan.CellCount())
-	if cfg.Listen != n.cfg.Listen || cfg.Admin != n.cfg.Admin || cfg.Name != n.cfg.Name {
+	n.log.Info("configuration-taken", "discovery", cfg.DiscoveryAddr, "cells", cfg.CellPlan.CellCount())
+	if cfg.ListenAddr != n.cfg.ListenAddr || cfg.AdminAddr != n.cfg.AdminAddr || cfg.Name != n.cfg.Name {
 		n.log.Warn("restart-needed", "reason", "another name or listening address")
-		cfg.Listen, cfg.Admin, cfg.Name = n.cfg.Listen, n.cfg.Admin, n.cfg.Name
+		cfg.ListenAddr, cfg.AdminAddr, cfg.Name = n.cfg.ListenAddr, n.cfg.AdminAddr, n.cfg.Name
 	}
 	n.adopt(cfg)
 	n.table.Reconfigure(cfg.Settings.Policy)
@@ -46,7 +46,7 @@
 	n.reweigh(n.now())
 	n.recorder.turn(n, n.now())
 	n.turnZones(n.now())
-	if cfg.Discovery != n.watch.watcher.Address() {
-		n.watch.watcher.MoveTo(n.now(), cfg.Discovery)
+	if cfg.DiscoveryAddr != n.watch.watcher.Address() {
+		n.watch.watcher.MoveTo(n.now(), cfg.DiscoveryAddr)
 	}
 }
--- a/internal/net/rendezvous.go
+++ b/internal/net/rendezvous.go
@@ -14,7 +14,7 @@
 	if n.folder == "" {
 		return ""
 	}
-	return filepath.Join(n.folder, "tealtiller-"+strings.ReplaceAll(n.cfg.Listen, "/", "_"))
+	return filepath.Join(n.folder, "tealtiller-"+strings.ReplaceAll(n.cfg.ListenAddr, "/", "_"))
 }
 
 // join joins the process that serves already. Without one, one that comes later may join us. It is called before
--- a/internal/net/rig_test.go
+++ b/internal/net/rig_test.go
@@ -104,7 +104,7 @@
 	r.source = settings.NewSource(func(name string) string { return env[name] })
 	cfg, err := r.load()
 	require.NoError(r.t, err)
-	list, err := discovery.Parse(cfg.Known)
+	list, err := discovery.Parse(cfg.KnownHosts)
 	require.NoError(r.t, err)
 	r.node, r.exited = NewNode(cfg, list, io.Discard, filepath.Join(r.folder, r.set["tmp"]), slog.New(slog.NewTextHandler(&r.log, nil))), make(chan error, 1)
 	r.node.patience, r.node.probeWait, r.node.watch.watcher.MinGrace = limit, limit, 10*limit // what a busy machine delays is no silence
--- a/internal/net/room.go
+++ b/internal/net/room.go
@@ -12,7 +12,7 @@
 
 // limitMemory leaves a quarter for what the Go runtime does not count. Two processes have half each.
 func (n *Node) limitMemory() {
-	limit := n.cfg.MemoryMB << 20 * 3 / 4
+	limit := n.cfg.MemoryLimitMB << 20 * 3 / 4
 	if n.link != nil {
 		limit /= 2
 	}
@@ -83,15 +83,15 @@
 }
 
 // limited tells whether there is a limit of descriptors, of the configuration or of the system.
-func (n *Node) limited() bool { return n.cfg.Sockets > 0 || n.allowed > 0 }
+func (n *Node) limited() bool { return n.cfg.MaxSockets > 0 || n.allowed > 0 }
 
 // left is how many descriptors may still be opened.
 func (n *Node) left() int {
-	most := n.cfg.Sockets
+	most := n.cfg.MaxSockets
 	if n.link != nil {
 		most = n.share
 	}
-	if n.cfg.Sockets <= 0 || n.allowed > 0 && n.allowed < most {
+	if n.cfg.MaxSockets <= 0 || n.allowed > 0 && n.allowed < most {
 		most = n.allowed
 	}
 	if n.admin != "" {
@@ -103,10 +103,10 @@
 // buffered is how much may wait for one peer that does not read, or from one that must wait: of a quarter of
 // the memory its part, but two lines at the least.
 func (n *Node) buffered() int {
-	if n.cfg.MemoryMB <= 0 || n.cfg.Sockets <= 0 {
+	if n.cfg.MemoryLimitMB <= 0 || n.cfg.MaxSockets <= 0 {
 		return mostBuffered
 	}
-	return min(max(int(n.cfg.MemoryMB<<20)/4/n.cfg.Sockets, 2*line.MaxLength), mostBuffered)
+	return min(max(int(n.cfg.MemoryLimitMB<<20)/4/n.cfg.MaxSockets, 2*line.MaxLength), mostBuffered)
 }
 
 const mostBuffered = 256 << 10
--- a/internal/net/trace_test.go
+++ b/internal/net/trace_test.go
@@ -21,7 +21,7 @@
 	}
 	handler := slog.NewTextHandler(out, &slog.HandlerOptions{Level: slog.LevelDebug, ReplaceAttr: withoutTime})
 	n := &Node{log: slog.New(handler), tracing: true}
-	n.cfg.Settings.Groups = groups
+	n.cfg.Settings.KeyByGroup = groups
 	return n
 }
 
--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -14,13 +14,13 @@
 
 // Config is what a balancer on sockets is told at its start.
 type Config struct {
-	Name, Listen, Discovery string
-	Admin                   string // the second address, for operators; there may be none
-	Seed                    uint64
-	MemoryMB                int64
-	Sockets                 int
-	Known                   []byte // the list of desk hosts in discovery's form, as last held
-	Settings                Settings
+	Name, ListenAddr, DiscoveryAddr string
+	AdminAddr                       string // the second address, for operators; there may be none
+	Seed                            uint64
+	MemoryLimitMB                   int64
+	MaxSockets                      int
+	KnownHosts                      []byte // the list of desk hosts in discovery's form, as last held
+	Settings                        Settings
 }
 
 // Source is where the configuration comes from: the environment and the file that it names. The file may be
@@ -48,23 +48,23 @@
 			return Config{}, fmt.Errorf("configuration: lacks %s, which it had at the start", key)
 		}
 	}
-	inFile := c.Discovery
+	inFile := c.DiscoveryAddr
 	switch told := s.getenv("EDGE_DISCOVERY"); {
 	case s.loaded && inFile == s.inFile:
-		c.Discovery = s.inForce
+		c.DiscoveryAddr = s.inForce
 	case !s.loaded && told != "":
-		c.Discovery = told
+		c.DiscoveryAddr = told
 	}
-	if c.Admin == c.Listen && c.Admin != "" {
+	if c.AdminAddr == c.ListenAddr && c.AdminAddr != "" {
 		return Config{}, errors.New("configuration: the second address is the one of the clients")
 	}
-	if c.Listen == "" || c.Discovery == "" {
+	if c.ListenAddr == "" || c.DiscoveryAddr == "" {
 		return Config{}, errors.New("configuration: no address to listen on, or none of discovery")
 	}
 	if !s.loaded {
 		s.keys = keys
 	}
-	s.loaded, s.inFile, s.inForce = true, inFile, c.Discovery
+	s.loaded, s.inFile, s.inForce = true, inFile, c.DiscoveryAddr
 	return c, nil
 }
 
@@ -80,8 +80,8 @@
 	if c, err = DecodeConfig(raw); err != nil {
 		return c, nil, err
 	}
-	for name, field := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.Listen,
-		"EDGE_ADMIN_ADDR": &c.Admin} {
+	for name, field := range map[string]*string{"EDGE_NAME": &c.Name, "EDGE_LISTEN": &c.ListenAddr,
+		"EDGE_ADMIN_ADDR": &c.AdminAddr} {
 		if value := getenv(name); value != "" {
 			*field = value
 		}
@@ -117,16 +117,16 @@
 	var c Config
 	var told bool
 	l := &jlexer.Lexer{Data: raw}
-	Object(l, func(field string) {
+	ForEachField(l, func(field string) {
 		switch field {
 		case "name":
 			c.Name = l.String()
 		case "listen":
-			c.Listen = l.String()
+			c.ListenAddr = l.String()
 		case "discovery":
-			c.Discovery = l.String()
+			c.DiscoveryAddr = l.String()
 		case "admin_addr":
-			c.Admin = l.String()
+			c.AdminAddr = l.String()
 		case "seed":
 			seed, err := strconv.ParseUint(l.String(), 16, 64)
 			if err != nil {
@@ -134,18 +134,18 @@
 			}
 			c.Seed = seed
 		case "limits":
-			Object(l, func(field string) {
+			ForEachField(l, func(field string) {
 				switch field {
 				case "memory_mb":
-					c.MemoryMB = l.Int64()
+					c.MemoryLimitMB = l.Int64()
 				case "sockets":
-					c.Sockets = l.Int()
+					c.MaxSockets = l.Int()
 				default:
 					l.SkipRecursive()
 				}
 			})
 		case "known":
-			c.Known = l.Raw()
+			c.KnownHosts = l.Raw()
 		case "settings":
 			told = true
 			set, err := DecodeWhole(l.Raw())
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -18,24 +18,24 @@
 	case "siblings":
 		p.Siblings = d.l.Int()
 	case "allowed":
-		Object(d.l, d.allowed)
+		ForEachField(d.l, d.allowed)
 	case "discovery":
 		p.MustWatch = d.l.String() == "subscribe"
 	case "locality":
 		p.Zone = d.l.String()
 	case "familyInfo":
-		Object(d.l, d.family)
+		ForEachField(d.l, d.family)
 	case "grades":
-		Array(d.l, func() {
+		ForEachElement(d.l, func() {
 			// the strictest, for a word not known
 			g := grade{class: policy.Class{Effect: policy.Unsafe, DedupScope: policy.ScopeCell}}
-			Object(d.l, func(field string) { d.grade(&g, field) })
+			ForEachField(d.l, func(field string) { d.grade(&g, field) })
 			d.grades = append(d.grades, g)
 		})
 	case "invariants":
-		Object(d.l, d.invariants)
+		ForEachField(d.l, d.invariants)
 	case "prices":
-		Object(d.l, d.prices)
+		ForEachField(d.l, d.prices)
 	default:
 		d.l.SkipRecursive()
 	}
@@ -48,9 +48,9 @@
 	case "peers":
 		d.out.Policy.SiblingMessaging = d.l.Bool()
 	case "probing":
-		d.out.Probes = d.l.Bool()
+		d.out.ProbesAllowed = d.l.Bool()
 	case "retryAfter":
-		d.out.RetryAfter = d.l.Bool()
+		d.out.SendRetryAfter = d.l.Bool()
 	case "connectTimeout":
 		d.out.ConnectTimeout = d.time()
 	default:
@@ -61,11 +61,11 @@
 func (d *decoder) family(field string) {
 	switch field {
 	case "messageAim":
-		Array(d.l, func() { d.messageAims = append(d.messageAims, d.time()) })
+		ForEachElement(d.l, func() { d.messageAims = append(d.messageAims, d.time()) })
 	case "tenantQuotaConnections":
-		Array(d.l, func() { d.out.Policy.QuotaConnections += max(d.l.Float64(), 0) })
+		ForEachElement(d.l, func() { d.out.Policy.QuotaConnections += max(d.l.Float64(), 0) })
 	case "groups":
-		d.out.Groups = d.l.Bool()
+		d.out.KeyByGroup = d.l.Bool()
 	case "mode":
 		d.out.PassThrough = d.l.String() == "pass"
 	default:
@@ -81,7 +81,7 @@
 		g.class.SetupTarget = d.time()
 	case "deadline":
 		g.deadline = d.time()
-		d.out.Deadline = max(d.out.Deadline, g.deadline)
+		d.out.MaxDeadline = max(d.out.MaxDeadline, g.deadline)
 	case "effect":
 		if effect, ok := effects[d.l.String()]; ok {
 			g.class.Effect = effect
--- a/internal/settings/large_test.go
+++ b/internal/settings/large_test.go
@@ -31,7 +31,7 @@
 		require.NoError(t, err)
 		assert.Equal(t, most, c.Settings.Policy.Siblings)
 		var known struct{ Members []struct{ ID string } }
-		require.NoError(t, json.Unmarshal(c.Known, &known))
+		require.NoError(t, json.Unmarshal(c.KnownHosts, &known))
 		assert.Len(t, known.Members, most)
 		assert.Equal(t, "s-1023", known.Members[most-1].ID)
 	}
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -17,11 +17,11 @@
 type Settings struct {
 	Policy         policy.Settings
 	ConnectTimeout time.Duration // a connection that is not up by then failed
-	Groups         bool          // a connection's group is its key
-	Probes         bool          // desk hosts may be asked for load reports
-	RetryAfter     bool          // a refused client may be told when to come back
+	KeyByGroup     bool          // a connection's group is its key
+	ProbesAllowed  bool          // desk hosts may be asked for load reports
+	SendRetryAfter bool          // a refused client may be told when to come back
 	PassThrough    bool          // packets pass through: connections outlive this process
-	Deadline       time.Duration // the longest of any class
+	MaxDeadline    time.Duration // the longest of any class
 }
 
 var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
@@ -30,8 +30,8 @@
 	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
 }
 
-// Object calls visit for each field of the object that comes next; null has none.
-func Object(l *jlexer.Lexer, visit func(field string)) {
+// ForEachField calls visit for each field of the object that comes next; null has none.
+func ForEachField(l *jlexer.Lexer, visit func(field string)) {
 	if l.IsNull() {
 		l.Skip()
 		return
@@ -50,8 +50,8 @@
 	l.Delim('}')
 }
 
-// Array calls visit for each element of the array that comes next; null has none.
-func Array(l *jlexer.Lexer, visit func()) {
+// ForEachElement calls visit for each element of the array that comes next; null has none.
+func ForEachElement(l *jlexer.Lexer, visit func()) {
 	if l.IsNull() {
 		l.Skip()
 		return
@@ -107,7 +107,7 @@
 func decode(raw []byte, asks bool, check func(*decoder) error) (Settings, error) {
 	d := &decoder{l: &jlexer.Lexer{Data: raw}}
 	p := &d.out.Policy
-	Object(d.l, d.top)
+	ForEachField(d.l, d.top)
 	d.l.Consumed()
 	if err := d.l.Error(); err != nil {
 		return Settings{}, fmt.Errorf("settings: %v", err) // not wrapped: its EOF is not ours
@@ -116,7 +116,7 @@
 		return Settings{}, err
 	}
 	p.MaxAttempts = max(p.MaxAttempts, 1)
-	p.Probes = asks && d.out.Probes
+	p.Probes = asks && d.out.ProbesAllowed
 	p.Tick = max(p.Tick, time.Millisecond)
 	p.Classes = make(map[string]policy.Class, len(d.grades))
 	for i, g := range d.grades {
--- a/internal/settings/settings_test.go
+++ b/internal/settings/settings_test.go
@@ -25,8 +25,8 @@
 func TestDecode(t *testing.T) {
 	got, err := Decode([]byte(told))
 	require.NoError(t, err)
-	assert.Equal(t, Settings{ConnectTimeout: 150 * time.Millisecond, Groups: true, Probes: true, RetryAfter: true, PassThrough: true,
-		Deadline: 1200 * time.Millisecond,
+	assert.Equal(t, Settings{ConnectTimeout: 150 * time.Millisecond, KeyByGroup: true, ProbesAllowed: true, SendRetryAfter: true, PassThrough: true,
+		MaxDeadline: 1200 * time.Millisecond,
 		Policy: policy.Settings{MaxAttempts: 6, Siblings: 2, Tick: 4 * time.Millisecond, MustWatch: true, Zone: "llandaff",
 			MaxWatchInterval: 10 * time.Second, ColdCapacityShare: 0.15, OverloadSpan: time.Second, OverloadFactor: 3,
 			DrainGrace: 300 * time.Millisecond, WarmAfter: 22 * time.Second,
@@ -54,11 +54,11 @@
 	env := map[string]string{"EDGE_CONFIG": path, "EDGE_LISTEN": "10.0.0.5:3000"}
 	c, err := NewSource(func(name string) string { return env[name] }).Load()
 	require.NoError(t, err)
-	assert.Equal(t, "10.0.0.5:3000", c.Listen, "the environment goes first")
+	assert.Equal(t, "10.0.0.5:3000", c.ListenAddr, "the environment goes first")
 	assert.Equal(t, "n3", c.Name)
 	assert.Equal(t, uint64(0x8c1f30d27a5be964), c.Seed)
-	assert.Equal(t, 1200, c.Sockets)
-	assert.JSONEq(t, `{"revision":41,"members":[]}`, string(c.Known))
+	assert.Equal(t, 1200, c.MaxSockets)
+	assert.JSONEq(t, `{"revision":41,"members":[]}`, string(c.KnownHosts))
 }
 
 func TestLoadTellsWhatIsWrong(t *testing.T) {
@@ -89,7 +89,7 @@
 	} {
 		require.NoError(t, os.WriteFile(path, []byte(step.text), 0o600))
 		c, err := s.Load()
-		assert.Equal(t, step.want, c.Discovery, step.text)
+		assert.Equal(t, step.want, c.DiscoveryAddr, step.text)
 		assert.Equal(t, step.want == "", err != nil, step.text)
 	}
 }
@@ -151,7 +151,7 @@
 		if c, err := DecodeConfig(raw); err == nil {
 			assert.NotEmpty(t, c.Settings.Policy.Classes)
 			assert.Positive(t, c.Settings.Policy.MaxAttempts)
-			assert.Positive(t, c.Settings.Deadline)
+			assert.Positive(t, c.Settings.MaxDeadline)
 			keys(&jlexer.Lexer{Data: raw}, "", map[string]bool{})
 		}
 	})
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -93,7 +93,7 @@
 	d.event = Event{Entries: d.event.Entries[:0]}
 	d.grouped = false
 	count := 0
-	settings.Object(l, func(name string) {
+	settings.ForEachField(l, func(name string) {
 		count++
 		kind := kinds[name]
 		d.event.Kind = kind
@@ -101,7 +101,7 @@
 			l.SkipRecursive()
 			return
 		}
-		settings.Object(l, func(field string) { d.field(l, field) })
+		settings.ForEachField(l, func(field string) { d.field(l, field) })
 	})
 	l.Consumed()
 	if err := l.Error(); err != nil {
@@ -160,7 +160,7 @@
 	case "slot":
 		e.Slot = l.Int()
 	case "entries":
-		settings.Array(l, func() { e.Entries = append(e.Entries, d.entry(l)) })
+		settings.ForEachElement(l, func() { e.Entries = append(e.Entries, d.entry(l)) })
 	case "prng":
 		e.Seed = l.Uint64()
 	case "bootInfo":
@@ -197,7 +197,7 @@
 
 func (d *Decoder) entry(l *jlexer.Lexer) policy.Server {
 	var s policy.Server
-	settings.Object(l, func(field string) {
+	settings.ForEachField(l, func(field string) {
 		switch field {
 		case "server":
 			s.ID = d.name(l)
