--- a/cmd/tealtiller/main_test.go
+++ b/cmd/tealtiller/main_test.go
@@ -69,8 +69,8 @@
 	for i := range 30 {
 		for b, room := range []string{"a", "b"} {
 			require.NoError(t, json.NewEncoder(&records).Encode(placement.Record{Version: 1, At: 1e12 + int64(5000*i+b), Balancer: room, Room: room,
-				Hosts:  []placement.RecordedHost{{ID: "h0", Room: "a", Kind: "k", X0: 0.5}, {ID: "h1", Room: "b", Kind: "k", X0: 0.5}},
-				Stands: []placement.Stand{{Key: "1", Host: "h0", Open: map[string]int{"lookup": 5}}, {Key: "2", Host: "h1", Open: map[string]int{"lookup": 5}}}}))
+				Hosts:       []placement.RecordedHost{{ID: "h0", Room: "a", Kind: "k", X0: 0.5}, {ID: "h1", Room: "b", Kind: "k", X0: 0.5}},
+				Connections: []placement.FlightConnections{{Key: "1", Host: "h0", OpenByClass: map[string]int{"lookup": 5}}, {Key: "2", Host: "h1", OpenByClass: map[string]int{"lookup": 5}}}}))
 		}
 	}
 	require.NoError(t, os.WriteFile(in("records"), records.Bytes(), 0o600))
--- a/cmd/tealtiller/plan.go
+++ b/cmd/tealtiller/plan.go
@@ -50,19 +50,19 @@
 	told := began
 	whole := f
 	if c.Hosts {
-		f = placement.Even(f, c.Even)
+		f = placement.LimitUtilisation(f, c.Even)
 		whole = f
 	} else {
-		f = placement.Even(placement.Rooms(f), c.Even)
+		f = placement.LimitUtilisation(placement.RoomsAsCells(f), c.Even)
 	}
-	a := placement.Solve(f, placement.Limit{Seed: c.Seed, Stop: func() bool { return time.Since(began) >= c.Limit },
-		Tell: func(worth, bound float64, steps int) {
+	a := placement.Solve(f, placement.SearchLimit{Seed: c.Seed, Stop: func() bool { return time.Since(began) >= c.Limit },
+		Progress: func(worth, bound float64, steps int) {
 			if now := time.Now(); !c.Quiet && now.Sub(told) >= time.Second {
 				told = now
 				fmt.Fprintf(os.Stderr, "%3.0f s: worth %.6g, at the most %.6g, %d steps\n", now.Sub(began).Seconds(), worth, bound, steps)
 			}
 		}})
-	made := placement.Make(whole, a, time.Now(), c.Holds, c.Fades)
+	made := placement.NewPlan(whole, a, time.Now(), c.Holds, c.Fades)
 	printPlan(out, f, a, made)
 	if c.Out == "" {
 		return nil
@@ -76,22 +76,22 @@
 // mostRows is how many hosts are told one by one; of more, those that change most.
 const mostRows = 40
 
-func printPlan(out io.Writer, f *placement.Fleet, a *placement.Answer, made *placement.Plan) {
+func printPlan(out io.Writer, f *placement.Fleet, a *placement.Solution, made *placement.Plan) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	now := placement.Standing(f)
+	now := placement.CurrentPlacement(f)
 	before, after := now.Loads(f), a.Loads(f)
 	fmt.Fprintf(w, "found by\t%s\tin %d steps\n", a.Method, a.Steps)
 	fmt.Fprintf(w, "worth a second\t%.5g\tat the most %.5g (%.2f%% more); as it stands %.5g\n", a.Total, a.Bound, 100*a.Gap, now.Total)
-	fmt.Fprintf(w, "crosses rooms\t%.2f%%\tas it stands %.2f%%\n", percent(a.Crossed, a.Served), percent(now.Crossed, now.Served))
-	fmt.Fprintf(w, "hosts a flight\t%.3f\tas it stands %.3f\n", ratio(float64(a.Pieces), float64(len(f.Flights))), ratio(float64(now.Pieces), float64(len(f.Flights))))
-	fmt.Fprintf(w, "not served\t%.2f%%\tof the worth; as it stands %.2f%%\n", percent(a.Shed, a.Shed+a.Served), percent(now.Shed, now.Shed+now.Served))
-	for _, b := range a.Limits {
-		fmt.Fprintf(w, "full\troom %s\ta further load served there would bring %.3g a second\n", b.Room, b.Price)
+	fmt.Fprintf(w, "crosses rooms\t%.2f%%\tas it stands %.2f%%\n", percent(a.CrossedWorth, a.ServedWorth), percent(now.CrossedWorth, now.ServedWorth))
+	fmt.Fprintf(w, "hosts a flight\t%.3f\tas it stands %.3f\n", ratio(float64(a.FlightHostPairs), float64(len(f.Flights))), ratio(float64(now.FlightHostPairs), float64(len(f.Flights))))
+	fmt.Fprintf(w, "not served\t%.2f%%\tof the worth; as it stands %.2f%%\n", percent(a.ShedWorth, a.ShedWorth+a.ServedWorth), percent(now.ShedWorth, now.ShedWorth+now.ServedWorth))
+	for _, b := range a.BindingConstraints {
+		fmt.Fprintf(w, "full\troom %s\ta further load served there would bring %.3g a second\n", b.Room, b.ShadowPrice)
 	}
-	for i, s := range made.Shed {
+	for i, s := range made.ShedDemand {
 		if i == 8 {
-			fmt.Fprintf(w, "shed\t...\t%d more carriers\n", len(made.Shed)-i)
+			fmt.Fprintf(w, "shed\t...\t%d more carriers\n", len(made.ShedDemand)-i)
 			break
 		}
 		fmt.Fprintf(w, "shed\tcarrier %s\t%.4g loads, worth %.4g a second\n", s.Carrier, s.Load, s.Worth)
@@ -100,7 +100,7 @@
 	hosts := slices.Clone(f.Hosts)
 	for _, h := range hosts {
 		r := rooms[h.Room]
-		rooms[h.Room] = [3]float64{r[0] + h.Serves(&f.Prices), r[1] + before[h.ID], r[2] + after[h.ID]}
+		rooms[h.Room] = [3]float64{r[0] + h.UsableCapacity(&f.Prices), r[1] + before[h.ID], r[2] + after[h.ID]}
 	}
 	fmt.Fprintf(w, "\nroom\tserves\tholds\tplanned\tfull\n")
 	for _, room := range slices.Sorted(maps.Keys(rooms)) {
@@ -116,7 +116,7 @@
 	}
 	fmt.Fprintf(w, "\nhost\troom\tkind\tserves\tholds\tplanned\tfull\n")
 	for _, h := range hosts {
-		serves := h.Serves(&f.Prices)
+		serves := h.UsableCapacity(&f.Prices)
 		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.0f%%\n", h.ID, h.Room, h.Kind, serves, before[h.ID], after[h.ID], percent(after[h.ID], serves))
 	}
 }
@@ -142,7 +142,7 @@
 			continue
 		}
 		force, next := p.Force(time.Duration(time.Now().UnixNano()))
-		fmt.Fprintf(out, "%s: good; born %s, by %s, %d hosts, %d flights, now in force to %.0f%%", path, p.Born.Format(time.RFC3339), p.Method,
+		fmt.Fprintf(out, "%s: good; born %s, by %s, %d hosts, %d flights, now in force to %.0f%%", path, p.Created.Format(time.RFC3339), p.Method,
 			len(p.Hosts), len(p.Flights), 100*force)
 		if next > 0 {
 			fmt.Fprintf(out, ", until %s", time.Unix(0, int64(next)).UTC().Format(time.RFC3339))
@@ -184,15 +184,15 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "inputs\t%s\t%s\nworth\t%.5g\t%.5g\n", a.Inputs, b.Inputs, a.Value, b.Value)
+	fmt.Fprintf(w, "inputs\t%s\t%s\nworth\t%.5g\t%.5g\n", a.InputsHash, b.InputsHash, a.Value, b.Value)
 	rooms := map[string]bool{}
 	for _, p := range []*placement.Plan{a, b} {
-		for room := range p.Rooms {
+		for room := range p.RoomWeights {
 			rooms[room] = true
 		}
 	}
 	for _, room := range slices.Sorted(maps.Keys(rooms)) {
-		x, y := shares(a.Rooms[room]), shares(b.Rooms[room])
+		x, y := shares(a.RoomWeights[room]), shares(b.RoomWeights[room])
 		moved := 0.0
 		for id := range x {
 			moved += math.Max(x[id]-y[id], 0)
--- a/cmd/tealtiller/plan_gather.go
+++ b/cmd/tealtiller/plan_gather.go
@@ -18,8 +18,8 @@
 }
 
 func (c planGather) Run(out io.Writer) error {
-	prices := placement.Usual()
-	g := placement.NewGatherer(placement.UsualClasses(), prices.Piece, c.Bucket)
+	prices := placement.DefaultPrices()
+	g := placement.NewFleetBuilder(placement.DefaultClassLoads(), prices.PerHostOverhead, c.Bucket)
 	for _, path := range c.Files {
 		f, err := os.Open(path)
 		if err != nil {
@@ -37,9 +37,9 @@
 	}
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	fmt.Fprintf(w, "%d hosts, %d flights; %d lines made no sense\n\nhost\troom\tkind\tcapacity\tmay be off by\n", len(fleet.Hosts), len(fleet.Flights), g.Refused)
+	fmt.Fprintf(w, "%d hosts, %d flights; %d lines made no sense\n\nhost\troom\tkind\tcapacity\tmay be off by\n", len(fleet.Hosts), len(fleet.Flights), g.RejectedLines)
 	for _, h := range fleet.Hosts {
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.0f%%\n", h.ID, h.Room, h.Kind, h.Capacity, 100*h.Error)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.0f%%\n", h.ID, h.Room, h.Kind, h.Capacity, 100*h.CapacityError)
 	}
 	text, err := json.MarshalIndent(fleet, "", " ")
 	if err != nil {
--- a/internal/admin/admin.go
+++ b/internal/admin/admin.go
@@ -67,7 +67,7 @@
 	Reloads, ReloadErrors int64 // configurations taken in and turned down
 	HostList              HostListMetrics
 	Cells                 []CellMetrics
-	Plan                  *placement.Figures // nil: no plan
+	Plan                  *placement.PlanStatus // nil: no plan
 }
 
 // HostListMetrics is the figures of the host list.
--- a/internal/lab/exact_answer.go
+++ b/internal/lab/exact_answer.go
@@ -10,10 +10,10 @@
 const overfull, unserved = 1e-6, 1e-9
 
 // WorthOf is what a solver's answer is worth, and whether it serves all demand within what every host serves.
-func WorthOf(f *placement.Fleet, a *placement.Answer) (worth float64, feasible bool) {
+func WorthOf(f *placement.Fleet, a *placement.Solution) (worth float64, feasible bool) {
 	s := newExactAnswer(f)
 	for _, got := range a.Flights {
-		s.addFlight(got.ID, got.At)
+		s.addFlight(got.ID, got.Loads)
 	}
 	return s.total(), s.fits() && s.servesAll()
 }
@@ -32,7 +32,7 @@
 }
 
 // addFlight places what stands of a flight.
-func (s *exactAnswer) addFlight(id uint64, shares []placement.Share) {
+func (s *exactAnswer) addFlight(id uint64, shares []placement.PlacedLoad) {
 	i := slices.IndexFunc(s.fleet.Flights, func(f placement.Flight) bool { return f.ID == id })
 	flight := &s.fleet.Flights[i]
 	seen := map[int]bool{}
@@ -49,10 +49,10 @@
 }
 
 // gain is what a share of a flight brings on a host, the first host's price given back.
-func (s *exactAnswer) gain(flight *placement.Flight, share placement.Share, host int) float64 {
+func (s *exactAnswer) gain(flight *placement.Flight, share placement.PlacedLoad, host int) float64 {
 	p := slices.IndexFunc(flight.Parts, func(p placement.Part) bool { return p.Room == share.Room })
 	part := flight.Parts[p]
-	lost := lostShare(s.fleet, share.Room, hostIndex(s.fleet, flight.Was), host)
+	lost := lostShare(s.fleet, share.Room, hostIndex(s.fleet, flight.CurrentHost), host)
 	back := slices.Min(s.paid) * share.Load / flightLoad(flight)
 	return part.Worth*share.Load/part.Load*(1-lost) + back
 }
--- a/internal/lab/exact_case.go
+++ b/internal/lab/exact_case.go
@@ -39,7 +39,7 @@
 		c.addHost(f, h, rooms[h.Room], waste)
 	}
 	for _, flight := range f.Flights {
-		was := hostIndex(f, flight.Was)
+		was := hostIndex(f, flight.CurrentHost)
 		if was >= 0 {
 			c.home[was] = true
 		}
@@ -73,16 +73,16 @@
 }
 
 func (c *exactCase) addHost(f *placement.Fleet, h placement.Host, room int, waste float64) {
-	warm := h.Warm
+	warm := h.WarmShare
 	if warm == 0 {
 		warm = 1
 	}
-	spread := math.Max(h.Spread, 1)
-	sure := math.Max(1-f.Prices.Caution*h.Error, 0.1)
+	spread := math.Max(h.HostsPerFlight, 1)
+	sure := math.Max(1-f.Prices.CautionErrors*h.CapacityError, 0.1)
 	c.room = append(c.room, room)
-	c.serve = append(c.serve, h.Capacity*warm*f.Prices.Fill*sure)
-	c.pay = append(c.pay, f.Prices.Piece*spread)
-	c.paid = append(c.paid, waste*f.Prices.Piece*spread)
+	c.serve = append(c.serve, h.Capacity*warm*f.Prices.MaxUtilisation*sure)
+	c.pay = append(c.pay, f.Prices.PerHostOverhead*spread)
+	c.paid = append(c.paid, waste*f.Prices.PerHostOverhead*spread)
 }
 
 // newGroup makes a flight of figures; was is the host where a plan in force has it, below 0 for none.
--- a/internal/lab/exact_draw.go
+++ b/internal/lab/exact_draw.go
@@ -10,8 +10,8 @@
 // PlacementCase draws a small fleet: up to so many hosts of two kinds in one or two rooms, up to so many flights, from far
 // too little to far too much traffic, some of it in the wrong room, some under a plan already.
 func PlacementCase(rng *rand.Rand, hosts, flights int) *placement.Fleet {
-	f := &placement.Fleet{Prices: placement.Usual()}
-	f.Prices.Caution = float64(rng.IntN(2))
+	f := &placement.Fleet{Prices: placement.DefaultPrices()}
+	f.Prices.CautionErrors = float64(rng.IntN(2))
 	d := caseDrawing{rng: rng, fleet: f}
 	d.rooms = bothRooms[:1+min(rng.IntN(4), 1)]
 	d.equal = rng.IntN(3) == 0
@@ -51,14 +51,14 @@
 		h.Capacity = 30
 	}
 	if rng.IntN(6) == 0 {
-		h.Warm = 0.15 + 0.8*rng.Float64()
+		h.WarmShare = 0.15 + 0.8*rng.Float64()
 	}
 	if rng.IntN(4) == 0 {
-		h.Error = 0.3 * rng.Float64()
+		h.CapacityError = 0.3 * rng.Float64()
 	}
 	d.fleet.Hosts = append(d.fleet.Hosts, h)
-	serves := h.Serves(&d.fleet.Prices)
-	d.largest = math.Max(d.largest, math.Min(serves, 8*d.fleet.Prices.Piece))
+	serves := h.UsableCapacity(&d.fleet.Prices)
+	d.largest = math.Max(d.largest, math.Min(serves, 8*d.fleet.Prices.PerHostOverhead))
 	d.serves += serves
 }
 
@@ -71,7 +71,7 @@
 	}
 	flight.Parts = d.parts(load)
 	if rng.IntN(3) == 0 {
-		flight.Was = d.fleet.Hosts[rng.IntN(len(d.fleet.Hosts))].ID
+		flight.CurrentHost = d.fleet.Hosts[rng.IntN(len(d.fleet.Hosts))].ID
 	}
 	d.fleet.Flights = append(d.fleet.Flights, flight)
 }
--- a/internal/lab/lab_test.go
+++ b/internal/lab/lab_test.go
@@ -151,7 +151,7 @@
 	recorded.Record = true
 	before := NewVirtual(&recorded, 1, false)
 	equal := before.Run()
-	fleet, err := before.gather.Fleet(placement.Usual())
+	fleet, err := before.gather.Fleet(placement.DefaultPrices())
 	require.NoError(t, err)
 	plan, off := planOf(fleet, before.specs, false, false, time.Unix(0, int64(virtualStart)))
 	assert.Less(t, off, 0.15)
--- a/internal/lab/placement.go
+++ b/internal/lab/placement.go
@@ -82,7 +82,7 @@
 	}
 	f := PlacementCase(rng, hosts, flights)
 	r.hosts, r.flights = len(f.Hosts), len(f.Flights)
-	a := placement.Solve(f, placement.Limit{Steps: solverSteps, Seed: seed})
+	a := placement.Solve(f, placement.SearchLimit{MaxSteps: solverSteps, Seed: seed})
 	worth, feasible := WorthOf(f, a)
 	scale := math.Max(math.Abs(worth), 1e-9)
 	r.wrong = math.Abs(worth-a.Total) / scale
@@ -111,7 +111,7 @@
 // the first room, and demand as a share of what the hosts serve.
 func PlacementFleet(seed uint64, hosts, each int, demand float64) *placement.Fleet {
 	rng := rand.New(rand.NewPCG(seed, uint64(hosts)))
-	f := &placement.Fleet{Prices: placement.Usual()}
+	f := &placement.Fleet{Prices: placement.DefaultPrices()}
 	serves, rooms := 0.0, bothRooms
 	for i := range hosts {
 		h := placement.Host{ID: fmt.Sprintf("h%05d", i), Room: rooms[i%2], Kind: "full-speed", Capacity: 180 * (0.85 + 0.25*rng.Float64())}
@@ -119,10 +119,10 @@
 			h.Kind, h.Capacity = "slow-clock", 180*(0.51+0.18*rng.Float64())
 		}
 		f.Hosts = append(f.Hosts, h)
-		serves += h.Serves(&f.Prices)
+		serves += h.UsableCapacity(&f.Prices)
 	}
 	n := hosts * each
-	total := serves*demand - f.Prices.Piece*float64(n)
+	total := serves*demand - f.Prices.PerHostOverhead*float64(n)
 	for i := range n {
 		load, worth, first := total/float64(n)*(0.3+0.7*rng.ExpFloat64()), 0.9+0.4*rng.Float64(), 0.65
 		if rng.IntN(2) == 0 {
@@ -160,8 +160,8 @@
 			for _, limit := range []time.Duration{50 * time.Millisecond, 500 * time.Millisecond, 3 * time.Second} {
 				began := time.Now()
 				stop := began.Add(limit - time.Duration(len(f.Flights))*solverTail)
-				a := placement.Solve(f, placement.Limit{Seed: seed, Stop: func() bool { return time.Now().After(stop) }})
-				s := SizedPlan{hosts, demand, limit, time.Since(began), a.Gap, a.Method, a.Shed / (a.Shed + a.Served), a.Crossed / a.Served}
+				a := placement.Solve(f, placement.SearchLimit{Seed: seed, Stop: func() bool { return time.Now().After(stop) }})
+				s := SizedPlan{hosts, demand, limit, time.Since(began), a.Gap, a.Method, a.ShedWorth / (a.ShedWorth + a.ServedWorth), a.CrossedWorth / a.ServedWorth}
 				all = append(all, s)
 				name := fmt.Sprintf("hosts_%d_demand_%g_limit_%v", hosts, demand, limit)
 				v.Figures[name] = map[string]any{"ms": math.Round(s.Took.Seconds() * 1e3), "gap": round4(a.Gap), "method": a.Method, "shed": round4(s.Shed),
--- a/internal/lab/sockets_files.go
+++ b/internal/lab/sockets_files.go
@@ -67,7 +67,7 @@
 
 // Gather makes a fleet of what the balancers recorded.
 func (s *Sockets) Gather() (*placement.Fleet, error) {
-	g := placement.NewGatherer(placement.UsualClasses(), placement.Usual().Piece, time.Second)
+	g := placement.NewFleetBuilder(placement.DefaultClassLoads(), placement.DefaultPrices().PerHostOverhead, time.Second)
 	for _, n := range s.nodes {
 		f, err := os.Open(filepath.Join(s.folder, "record-"+n.name+".jsonl"))
 		if err != nil {
@@ -79,5 +79,5 @@
 			return nil, err
 		}
 	}
-	return g.Fleet(placement.Usual())
+	return g.Fleet(placement.DefaultPrices())
 }
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -28,7 +28,7 @@
 	next      int
 	Result    Harm
 	held      map[uint64]map[string]int // connections of each flight, by host
-	gather    *placement.Gatherer       // of what balancers see, where the experiment records
+	gather    *placement.FleetBuilder   // of what balancers see, where the experiment records
 	victims   map[string]bool           // carriers that a fault is aimed at, or whose cell is
 	weight    map[string]float64
 }
@@ -68,7 +68,7 @@
 
 func (v *Virtual) addBalancer(i int, seed uint64, list []policy.Server) {
 	b := &virtualBalancer{v: v, index: i, room: v.exp.balancerRoom(i), clients: map[string]*virtualClient{}}
-	b.weigher = placement.NewWeigher(v.exp.Placed, b.room)
+	b.weigher = placement.NewWeightApplier(v.exp.Placed, b.room)
 	set := Settings(v.exp.Balancers)
 	set.Zone = b.room
 	b.fleet = cells.New(set, seed+uint64(i), b, v.plan)
@@ -138,7 +138,7 @@
 		v.at(virtualStart+span(f.At), func() { v.fault(f) })
 	}
 	if v.exp.Record {
-		v.gather = placement.NewGatherer(placement.UsualClasses(), placement.Usual().Piece, time.Second)
+		v.gather = placement.NewFleetBuilder(placement.DefaultClassLoads(), placement.DefaultPrices().PerHostOverhead, time.Second)
 	}
 	for _, b := range v.balancers {
 		v.at(v.now+time.Second, b.delays)
--- a/internal/lab/virtual_balancer.go
+++ b/internal/lab/virtual_balancer.go
@@ -16,7 +16,7 @@
 	v       *Virtual
 	index   int
 	room    string
-	weigher *placement.Weigher
+	weigher *placement.WeightApplier
 	fleet   *cells.Fleet
 	clients map[string]*virtualClient
 }
@@ -140,7 +140,7 @@
 
 // members tells a balancer of the list, weighed by its plan.
 func (b *virtualBalancer) members(kind policy.MembersKind, list []policy.Server) {
-	b.fleet.Members(b.v.now, kind, b.weigher.Take(b.v.now, kind, list))
+	b.fleet.Members(b.v.now, kind, b.weigher.Apply(b.v.now, kind, list))
 }
 
 // record notes once a second what a balancer sees.
@@ -152,7 +152,7 @@
 	}
 	for _, id := range slices.Sorted(maps.Keys(b.clients)) {
 		if c := b.clients[id]; c.host != nil {
-			rec.Count(c.group, c.carrier, c.host.ID, c.class)
+			rec.CountConnection(c.group, c.carrier, c.host.ID, c.class)
 		}
 	}
 	v.gather.Add(rec)
--- a/internal/lab/worth.go
+++ b/internal/lab/worth.go
@@ -34,20 +34,20 @@
 			real := s.Cores * s.Speed * s.PerCore
 			off += math.Abs(f.Hosts[i].Capacity/real-1) / float64(len(f.Hosts))
 			if truth {
-				f.Hosts[i].Capacity, f.Hosts[i].Error = real, 0
+				f.Hosts[i].Capacity, f.Hosts[i].CapacityError = real, 0
 			}
 		}
 	}
 	g := f
 	if !byHost {
-		g = placement.Rooms(f)
+		g = placement.RoomsAsCells(f)
 	}
-	g = placement.Even(g, evenly)
-	a := placement.Solve(g, placement.Limit{Steps: 300_000, Seed: 1})
+	g = placement.LimitUtilisation(g, evenly)
+	a := placement.Solve(g, placement.SearchLimit{MaxSteps: 300_000, Seed: 1})
 	if byHost {
 		f = g
 	}
-	return placement.Make(f, a, born, 24*time.Hour, time.Hour), off
+	return placement.NewPlan(f, a, born, 24*time.Hour, time.Hour), off
 }
 
 const evenly = 1.02
@@ -96,7 +96,7 @@
 		recorded.Run()
 		plans := map[string]*placement.Plan{"equal": nil, "told": nil}
 		for _, name := range []string{"plan_true", "plan_estimated", "plan_by_host"} {
-			f, err := recorded.gather.Fleet(placement.Usual())
+			f, err := recorded.gather.Fleet(placement.DefaultPrices())
 			if err != nil {
 				return nil, err
 			}
--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -107,7 +107,7 @@
 	f.Members, f.Unavailable = n.table.MemberCounts(now)
 	f.HostList = admin.HostListMetrics{Revision: n.watch.status.revision, SinceAnswer: n.watch.unheard(now), Calls: n.count["discovery calls"],
 		FailedCalls: n.count["discovery calls failed"], AttemptsNotWritten: n.count["attempts not written: no longer allowed"]}
-	f.Plan = n.weigher.Figures(now)
+	f.Plan = n.weigher.Status(now)
 	for _, c := range n.fleet.Stats(now) {
 		f.Cells = append(f.Cells, admin.CellMetrics(c))
 	}
--- a/internal/net/node.go
+++ b/internal/net/node.go
@@ -61,8 +61,8 @@
 	upstreams   slot.Table[*upstream]
 	addresses   map[string]netip.AddrPort
 	watch       *watch
-	weigher     *placement.Weigher // between discovery and the module
-	fades       *deadline.Deadline // when the weights of a plan change by themselves
+	weigher     *placement.WeightApplier // between discovery and the module
+	fades       *deadline.Deadline       // when the weights of a plan change by themselves
 	recorder    recorder
 	delays      delays
 
@@ -161,7 +161,7 @@
 			n.fleet = cells.New(n.cfg.Settings.Policy, n.cfg.Seed, h, n.cfg.CellPlan)
 			return n.fleet
 		}, carrier{n}, &n.deadlines, n.count)
-		n.weigher = placement.NewWeigher(n.cfg.Placement.Plan, n.cfg.Settings.Policy.Zone)
+		n.weigher = placement.NewWeightApplier(n.cfg.Placement.Plan, n.cfg.Settings.Policy.Zone)
 		n.turnZones(now)
 		n.watch.status.revision = n.known.Revision
 		n.watch.status.take(n.known)
@@ -200,20 +200,20 @@
 		}
 		n.trace("listed", "host", m.ID, "state", int(m.State), "started_ms", m.Started.Milliseconds())
 	}
-	n.table.UpdateMembers(now, kind, n.weigher.Take(now, kind, n.servers(now, kind, list)))
+	n.table.UpdateMembers(now, kind, n.weigher.Apply(now, kind, n.servers(now, kind, list)))
 	n.zonesListed(now)
 	n.delays.size(n, now)
 }
 
 // reweigh hands on the weights as they are now, and sees to it that it happens again when a plan fades further.
 func (n *Node) reweigh(now time.Duration) {
-	if changed := n.weigher.Replan(now, n.cfg.Placement.Plan, n.cfg.Settings.Policy.Zone); len(changed) > 0 {
+	if changed := n.weigher.SetPlan(now, n.cfg.Placement.Plan, n.cfg.Settings.Policy.Zone); len(changed) > 0 {
 		n.log.Info("plan-weights-changed", "hosts", len(changed))
 		n.table.UpdateMembers(now, policy.Delta, changed)
 	}
 	n.deadlines.Stop(n.fades)
-	if n.fades = nil; n.weigher.Next(now) > 0 {
-		n.fades = n.deadlines.Set(n.weigher.Next(now), n.reweigh)
+	if n.fades = nil; n.weigher.NextChange(now) > 0 {
+		n.fades = n.deadlines.Set(n.weigher.NextChange(now), n.reweigh)
 	}
 }
 
--- a/internal/net/record.go
+++ b/internal/net/record.go
@@ -75,7 +75,7 @@
 // seen is what stands here now, and what desk hosts last told of themselves.
 func (n *Node) seen(now time.Duration) placement.Record {
 	rec := placement.Record{Version: placement.RecordVersion, At: n.wallMilliseconds(now), Balancer: n.cfg.Name, Room: n.cfg.Settings.Policy.Zone}
-	for _, s := range n.weigher.Listed() {
+	for _, s := range n.weigher.Servers() {
 		h := placement.RecordedHost{ID: s.ID, Room: s.Zone, Kind: s.Kind, Started: n.wallMilliseconds(s.Started), Age: -1}
 		if l := n.delays.lags[s.ID]; l != nil && l.report.at > 0 {
 			h.X0, h.Age = l.report.x0, (now - l.report.at).Milliseconds()
@@ -85,7 +85,7 @@
 	for _, u := range n.upstreams.All() {
 		if u.up {
 			o := u.downstream.opening
-			rec.Count(n.request(o).Key, o.Carrier, u.server, o.Class)
+			rec.CountConnection(n.request(o).Key, o.Carrier, u.server, o.Class)
 		}
 	}
 	return rec
--- a/internal/net/record_test.go
+++ b/internal/net/record_test.go
@@ -36,11 +36,11 @@
 }
 
 // read gathers the records of a file.
-func read(t *testing.T, path string) (g *placement.Gatherer) {
+func read(t *testing.T, path string) (g *placement.FleetBuilder) {
 	f, err := os.Open(path)
 	require.NoError(t, err)
 	defer f.Close()
-	g = placement.NewGatherer(placement.UsualClasses(), 0, time.Millisecond)
+	g = placement.NewFleetBuilder(placement.DefaultClassLoads(), 0, time.Millisecond)
 	require.NoError(t, g.Read(f))
 	return g
 }
@@ -59,7 +59,7 @@
 		if cut == 0 || cut == len(whole)-1 { // nothing is left of it, or all but its end
 			refused = 0
 		}
-		require.Equal(t, refused, read(t, p.RecordPath).Refused, "%q", text)
+		require.Equal(t, refused, read(t, p.RecordPath).RejectedLines, "%q", text)
 	}
 }
 
@@ -74,7 +74,7 @@
 	assert.Equal(t, 1, r.log.times("record-failed"))
 	require.NoError(t, os.Mkdir(filepath.Join(r.folder, "later"), 0o700))
 	require.Eventually(t, func() bool { return r.log.times("records-written-again") == 1 }, limit, time.Millisecond)
-	assert.Zero(t, read(t, filepath.Join(r.folder, "later", "seen.jsonl")).Refused)
+	assert.Zero(t, read(t, filepath.Join(r.folder, "later", "seen.jsonl")).RejectedLines)
 	assert.Equal(t, 1, r.log.times("record-failed"))
 }
 
--- a/internal/net/wallclock_test.go
+++ b/internal/net/wallclock_test.go
@@ -25,7 +25,7 @@
 
 // age is how long ago the module takes a listed host to have started.
 func age(n *Node, now time.Duration, host string) time.Duration {
-	for _, s := range n.weigher.Listed() {
+	for _, s := range n.weigher.Servers() {
 		if s.ID == host {
 			return now - s.Started
 		}
--- a/internal/net/zones.go
+++ b/internal/net/zones.go
@@ -38,7 +38,7 @@
 	if z == nil {
 		return
 	}
-	listed := n.weigher.Listed()
+	listed := n.weigher.Servers()
 	hosts, zoneOf := make([]failover.Host, len(listed)), make(map[string]string, len(listed))
 	for i, s := range listed {
 		hosts[i], zoneOf[s.ID] = failover.Host{Zone: s.Zone, InService: s.State == policy.Ready, UpSince: s.Started}, s.Zone
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -123,7 +123,7 @@
 	require.NoError(t, err)
 	assert.Equal(t, Placement{Plan: f.Placement.Plan, PlanPath: filepath.Join(folder, "p.json"), RecordPath: filepath.Join(folder, "r"), RecordInterval: 5 * time.Second,
 		MaxRecordBytes: 64 << 20}, f.Placement)
-	cell, ok := f.Cells.PlacementCell(time.Duration(f.Placement.Plan.Born.UnixNano()), "x", 0x1f)
+	cell, ok := f.Cells.PlacementCell(time.Duration(f.Placement.Plan.Created.UnixNano()), "x", 0x1f)
 	assert.True(t, ok)
 	assert.Equal(t, "north", cell)
 	for text, want := range map[string]string{
--- a/internal/placement/check.go
+++ b/internal/placement/check.go
@@ -60,12 +60,12 @@
 			c.say("host %q: told twice", h.ID)
 		case !isFigure(h.Capacity):
 			c.say("host %q: capacity %v; want a figure from 0 on", h.ID, h.Capacity)
-		case !(h.Error >= 0 && h.Error <= mostError):
-			c.say("host %q: error %v; want 0 to 10", h.ID, h.Error)
-		case !isShare(h.Warm):
-			c.say("host %q: warm %v; want 0 to 1", h.ID, h.Warm)
-		case h.Spread != 0 && !(h.Spread >= 1 && h.Spread <= mostHosts):
-			c.say("host %q: spread %v; want 1 or more", h.ID, h.Spread)
+		case !(h.CapacityError >= 0 && h.CapacityError <= mostError):
+			c.say("host %q: error %v; want 0 to 10", h.ID, h.CapacityError)
+		case !isShare(h.WarmShare):
+			c.say("host %q: warm %v; want 0 to 1", h.ID, h.WarmShare)
+		case h.HostsPerFlight != 0 && !(h.HostsPerFlight >= 1 && h.HostsPerFlight <= mostHosts):
+			c.say("host %q: spread %v; want 1 or more", h.ID, h.HostsPerFlight)
 		}
 		names[h.ID] = true
 	}
@@ -104,11 +104,11 @@
 			c.say("price %s: %v; want 0 to 1", name, x)
 		}
 	}
-	if !(p.Piece >= 0 && p.Piece <= mostPiece) {
-		c.say("price piece: %v; want 0 or more loads", p.Piece)
+	if !(p.PerHostOverhead >= 0 && p.PerHostOverhead <= mostPiece) {
+		c.say("price piece: %v; want 0 or more loads", p.PerHostOverhead)
 	}
-	if !(p.Fill > 0 && p.Fill <= 1) || !(p.Caution >= 0 && p.Caution <= mostCaution) {
-		c.say("fill %v, caution %v; want above 0 to 1, and 0 to 5", p.Fill, p.Caution)
+	if !(p.MaxUtilisation > 0 && p.MaxUtilisation <= 1) || !(p.CautionErrors >= 0 && p.CautionErrors <= mostCaution) {
+		c.say("fill %v, caution %v; want above 0 to 1, and 0 to 5", p.MaxUtilisation, p.CautionErrors)
 	}
 }
 
--- a/internal/placement/digest.go
+++ b/internal/placement/digest.go
@@ -8,7 +8,7 @@
 
 // digest adds up records, one bucket of time after the other.
 type digest struct {
-	*Gatherer
+	*FleetBuilder
 	times     float64 // buckets in all
 	estimator *Estimator
 	flights   map[uint64]*recordedFlight
@@ -37,7 +37,7 @@
 		for _, h := range rec.Hosts {
 			m.hear(h)
 		}
-		for _, s := range rec.Stands {
+		for _, s := range rec.Connections {
 			d.count(m, rec.Room, s)
 		}
 	}
@@ -52,10 +52,10 @@
 }
 
 // count adds the connections of a flight on a host, which came in a room.
-func (d *digest) count(m *moment, room string, s Stand) {
+func (d *digest) count(m *moment, room string, s FlightConnections) {
 	key, err := strconv.ParseUint(s.Key, 16, 64)
 	if err != nil {
-		d.Refused++
+		d.RejectedLines++
 		return
 	}
 	if m.held[s.Host] == nil {
@@ -63,12 +63,12 @@
 	}
 	m.held[s.Host][s.Key] = true
 	part := d.part(key, s.Carrier, room)
-	for _, class := range keys(s.Open) {
+	for _, class := range keys(s.OpenByClass) {
 		c, known := d.classes[class]
 		if !known {
 			c = ClassLoad{1, 1}
 		}
-		n := float64(max(s.Open[class], 0))
+		n := float64(max(s.OpenByClass[class], 0))
 		m.load[s.Host] += n * c.Load
 		part.Load += n * c.Load / d.times
 		part.Worth += n * c.Worth / d.times
--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -84,7 +84,7 @@
 			a, b := 1/(err*err), 1/(k.spread*k.spread)
 			capacity, off = (a*c+b*k.mean)/(a+b), math.Sqrt(1/(a+b))
 		}
-		out = append(out, Host{ID: id, Room: h.room, Kind: h.kind, Capacity: capacity, Error: min(off/capacity, mostError)})
+		out = append(out, Host{ID: id, Room: h.room, Kind: h.kind, Capacity: capacity, CapacityError: min(off/capacity, mostError)})
 	}
 	return out
 }
--- a/internal/placement/improve.go
+++ b/internal/placement/improve.go
@@ -31,7 +31,7 @@
 		return better // one climb takes all the time there is
 	}
 	for range perturbations {
-		if s.ended() || s.limit.Steps > 0 && s.steps > s.limit.Steps*3/4 || s.bound-s.total <= tolerance*math.Abs(s.bound) {
+		if s.ended() || s.limit.MaxSteps > 0 && s.steps > s.limit.MaxSteps*3/4 || s.bound-s.total <= tolerance*math.Abs(s.bound) {
 			break
 		}
 		st := s.state(s.perturbed())
--- a/internal/placement/make.go
+++ b/internal/placement/make.go
@@ -20,15 +20,15 @@
 // wholeCarrier is the least share of a carrier's load in one cell by which the carrier counts as in it.
 const wholeCarrier = 0.9
 
-// Make makes a plan of an answer for a fleet: weights of its hosts by room. Where the answer is for the fleet's rooms, or
+// NewPlan makes a plan of an answer for a fleet: weights of its hosts by room. Where the answer is for the fleet's rooms, or
 // for other cells, flights and carriers are given to them, and each host weighs what it serves.
-func Make(f *Fleet, a *Answer, born time.Time, holds, fades time.Duration) *Plan {
+func NewPlan(f *Fleet, a *Solution, born time.Time, holds, fades time.Duration) *Plan {
 	flow := Shares(f)
-	p := &Plan{Version: PlanVersion, Born: born.UTC().Truncate(time.Second), Inputs: Hash(f), Method: a.Method, Value: a.Total, Bound: a.Bound,
+	p := &Plan{Version: PlanVersion, Created: born.UTC().Truncate(time.Second), InputsHash: Hash(f), Method: a.Method, Value: a.Total, Bound: a.Bound,
 		Holds: Span(holds), Fades: Span(fades), Demand: map[string]float64{}}
 	for i := range f.Hosts {
 		h := &f.Hosts[i]
-		p.Hosts = append(p.Hosts, PlanHost{h.ID, h.Room, h.Kind, h.Serves(&f.Prices)})
+		p.Hosts = append(p.Hosts, PlanHost{h.ID, h.Room, h.Kind, h.UsableCapacity(&f.Prices)})
 	}
 	slices.SortFunc(p.Hosts, byID)
 	for r, room := range flow.Rooms {
@@ -37,12 +37,12 @@
 	switch {
 	case p.placesElsewhere(a):
 		p.confine(a)
-		p.Rooms = p.anew(p.Hosts)
+		p.RoomWeights = p.anew(p.Hosts)
 	case f.cells(): // whose hosts it does not know
 		p.Hosts = nil
 		p.confine(a)
 	default:
-		p.Rooms = flow.weights(p.Hosts)
+		p.RoomWeights = flow.weights(p.Hosts)
 	}
 	p.shed(f, a)
 	p.index()
@@ -52,24 +52,24 @@
 func byID(a, b PlanHost) int { return cmp.Compare(a.ID, b.ID) }
 
 // placesElsewhere tells that an answer places flights in what is no host of the plan: its rooms, or cells.
-func (p *Plan) placesElsewhere(a *Answer) bool {
+func (p *Plan) placesElsewhere(a *Solution) bool {
 	known := map[string]bool{}
 	for _, h := range p.Hosts {
 		known[h.ID] = true
 	}
-	return slices.ContainsFunc(a.Flights, func(fl Placed) bool { return len(fl.At) > 0 && !known[fl.At[0].Host] })
+	return slices.ContainsFunc(a.Flights, func(fl FlightPlacement) bool { return len(fl.Loads) > 0 && !known[fl.Loads[0].Host] })
 }
 
 // inCell is a carrier and a cell.
 type inCell struct{ carrier, cell string }
 
 // confine names the cell of each flight that is placed in one, and of each carrier whose flights are for nine tenths.
-func (p *Plan) confine(a *Answer) {
+func (p *Plan) confine(a *Solution) {
 	p.Carriers, p.Flights = map[string]string{}, map[string]string{}
 	load, all := map[inCell]float64{}, map[string]float64{}
 	for _, fl := range a.Flights {
-		best := Share{}
-		for _, s := range fl.At {
+		best := PlacedLoad{}
+		for _, s := range fl.Loads {
 			load[inCell{fl.Carrier, s.Host}] += s.Load
 			all[fl.Carrier] += s.Load
 			if s.Load > best.Load {
@@ -88,11 +88,11 @@
 }
 
 // shed tells what an answer has no place for, by carrier, the least worth a load first.
-func (p *Plan) shed(f *Fleet, a *Answer) {
-	lost := map[string]*Shedding{}
+func (p *Plan) shed(f *Fleet, a *Solution) {
+	lost := map[string]*CarrierShed{}
 	placed := map[uint64]float64{}
 	for _, fl := range a.Flights {
-		for _, s := range fl.At {
+		for _, s := range fl.Loads {
 			placed[fl.ID] += s.Load
 		}
 	}
@@ -105,14 +105,14 @@
 		}
 		s := lost[fl.Carrier]
 		if s == nil {
-			s = &Shedding{Carrier: fl.Carrier}
+			s = &CarrierShed{Carrier: fl.Carrier}
 			lost[fl.Carrier] = s
 		}
 		s.Load += rest
 		s.Worth += worth * rest / load
 	}
 	for _, c := range keys(lost) {
-		p.Shed = append(p.Shed, *lost[c])
+		p.ShedDemand = append(p.ShedDemand, *lost[c])
 	}
-	slices.SortStableFunc(p.Shed, func(a, b Shedding) int { return cmp.Compare(a.Worth*b.Load, b.Worth*a.Load) })
+	slices.SortStableFunc(p.ShedDemand, func(a, b CarrierShed) int { return cmp.Compare(a.Worth*b.Load, b.Worth*a.Load) })
 }
--- a/internal/placement/parse.go
+++ b/internal/placement/parse.go
@@ -52,7 +52,7 @@
 
 // ParseFleet reads a fleet. An error tells line, column and reason.
 func ParseFleet(text []byte) (*Fleet, error) {
-	f := &Fleet{Prices: Usual()}
+	f := &Fleet{Prices: DefaultPrices()}
 	if err := decode(text, f); err != nil {
 		return nil, err
 	}
@@ -106,8 +106,8 @@
 	switch p := c.Plan; {
 	case p.Version != PlanVersion:
 		return c.fail("version", "a plan of version %d; this program reads version %d", p.Version, PlanVersion)
-	case p.Born.Unix() <= 0 || p.Born.Year() > mostYear:
-		return c.fail("born", "born %v", p.Born)
+	case p.Created.Unix() <= 0 || p.Created.Year() > mostYear:
+		return c.fail("born", "born %v", p.Created)
 	case p.Holds < 0 || p.Fades < 0 || p.Holds > mostSpan || p.Fades > mostSpan:
 		return c.fail("holds", "holds %v, fades %v; want spans of at most a year", time.Duration(p.Holds), time.Duration(p.Fades))
 	case len(p.Hosts) > mostHosts || len(p.Flights) > mostFlights:
@@ -128,7 +128,7 @@
 }
 
 func (c *planChecker) weights() error {
-	for room, weights := range c.Rooms {
+	for room, weights := range c.RoomWeights {
 		for id, w := range weights {
 			if !c.known[id] || !(w > 0 && w <= mostWeight) {
 				return c.fail(id, "room %q, host %q: weight %v, or a host that the plan does not describe", room, id, w)
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -18,21 +18,21 @@
 
 // Host is an endpoint, or a cell of them that flights are placed in as one.
 type Host struct {
-	ID       string  `json:"id"`
-	Room     string  `json:"room"`
-	Kind     string  `json:"kind,omitempty"`
-	Capacity float64 `json:"capacity"`         // loads that it can do when warm
-	Error    float64 `json:"error,omitempty"`  // by how much Capacity may be off, as a share of it (one standard error)
-	Warm     float64 `json:"warm,omitempty"`   // share of Capacity that it has over the plan's time; 0 means all
-	Spread   float64 `json:"spread,omitempty"` // for a cell: on how many hosts a flight in it is placed; 0 means one
+	ID             string  `json:"id"`
+	Room           string  `json:"room"`
+	Kind           string  `json:"kind,omitempty"`
+	Capacity       float64 `json:"capacity"`         // loads that it can do when warm
+	CapacityError  float64 `json:"error,omitempty"`  // by how much Capacity may be off, as a share of it (one standard error)
+	WarmShare      float64 `json:"warm,omitempty"`   // share of Capacity that it has over the plan's time; 0 means all
+	HostsPerFlight float64 `json:"spread,omitempty"` // for a cell: on how many hosts a flight in it is placed; 0 means one
 }
 
 // Flight is connections that cost extra on each host that holds a part of them.
 type Flight struct {
-	ID      uint64 `json:"id"` // the key that clients tell
-	Carrier string `json:"carrier,omitempty"`
-	Parts   []Part `json:"parts"`
-	Was     string `json:"was,omitempty"` // the host or cell that the plan in force has it on
+	ID          uint64 `json:"id"` // the key that clients tell
+	Carrier     string `json:"carrier,omitempty"`
+	Parts       []Part `json:"parts"`
+	CurrentHost string `json:"was,omitempty"` // the host or cell that the plan in force has it on
 }
 
 // Part is what of a flight arrives in one room.
@@ -44,35 +44,35 @@
 
 // Prices are what things cost. Shares are of the worth of what they happen to.
 type Prices struct {
-	Crossing float64 `json:"crossing"` // share of worth, for connections served in another room than they arrive in
-	Piece    float64 `json:"piece"`    // loads that each host holding a part of a flight pays
-	Waste    float64 `json:"waste"`    // share of the mean worth of a load, for each load of Piece paid beyond a flight's first host
-	Move     float64 `json:"move"`     // share of worth, for what does not stay where the plan in force has it
-	Fill     float64 `json:"fill"`     // share of what a host can do at which messages still come within the aims
-	Caution  float64 `json:"caution"`  // standard errors by which capacities are taken lower
+	Crossing        float64 `json:"crossing"` // share of worth, for connections served in another room than they arrive in
+	PerHostOverhead float64 `json:"piece"`    // loads that each host holding a part of a flight pays
+	Waste           float64 `json:"waste"`    // share of the mean worth of a load, for each load of Piece paid beyond a flight's first host
+	Move            float64 `json:"move"`     // share of worth, for what does not stay where the plan in force has it
+	MaxUtilisation  float64 `json:"fill"`     // share of what a host can do at which messages still come within the aims
+	CautionErrors   float64 `json:"caution"`  // standard errors by which capacities are taken lower
 }
 
-// Usual are the operators' prices: 10 points for each request crossing once, 23 for as much work wasted as asked for,
+// DefaultPrices are the operators' prices: 10 points for each request crossing once, 23 for as much work wasted as asked for,
 // 3.1 for each client moved once, 3 loads for each host with a part of a flight. A message at an idle host takes 4 to
 // 8 ms and over what is left of it when loaded, so 50 ms is kept to about nine tenths.
-func Usual() Prices {
-	return Prices{Crossing: 0.10, Piece: 3, Waste: 0.23, Move: 0.031, Fill: 0.9, Caution: 1}
+func DefaultPrices() Prices {
+	return Prices{Crossing: 0.10, PerHostOverhead: 3, Waste: 0.23, Move: 0.031, MaxUtilisation: 0.9, CautionErrors: 1}
 }
 
 // leastTrust is the least share of a capacity that is counted on, however uncertain it is.
 const leastTrust = 0.1
 
-// Serves is how many loads a host serves within the aims.
-func (h *Host) Serves(p *Prices) float64 {
-	return h.present() * p.Fill * max(1-p.Caution*h.Error, leastTrust)
+// UsableCapacity is how many loads a host serves within the aims.
+func (h *Host) UsableCapacity(p *Prices) float64 {
+	return h.present() * p.MaxUtilisation * max(1-p.CautionErrors*h.CapacityError, leastTrust)
 }
 
 // present is the capacity that a host has over the plan's time.
 func (h *Host) present() float64 {
-	if h.Warm == 0 {
+	if h.WarmShare == 0 {
 		return h.Capacity
 	}
-	return h.Capacity * h.Warm
+	return h.Capacity * h.WarmShare
 }
 
-func (h *Host) spread() float64 { return max(h.Spread, 1) }
+func (h *Host) spread() float64 { return max(h.HostsPerFlight, 1) }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -15,10 +15,10 @@
 // The same cases at each run; -rapid.seed=0 looks for others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-var steps = Limit{Steps: 20_000, Seed: 1}
+var steps = SearchLimit{MaxSteps: 20_000, Seed: 1}
 
 func fleets(t *rapid.T) *Fleet {
-	f := &Fleet{Prices: Usual()}
+	f := &Fleet{Prices: DefaultPrices()}
 	rooms := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "rooms")]
 	figure := rapid.Float64Range(0, 60)
 	for i := range rapid.IntRange(1, 6).Draw(t, "hosts") {
@@ -33,7 +33,7 @@
 			}
 		}
 		if rapid.Bool().Draw(t, "planned") {
-			fl.Was = fmt.Sprintf("h%d", rapid.IntRange(0, 7).Draw(t, "was"))
+			fl.CurrentHost = fmt.Sprintf("h%d", rapid.IntRange(0, 7).Draw(t, "was"))
 		}
 		f.Flights = append(f.Flights, fl)
 	}
@@ -72,8 +72,8 @@
 			for j := range g.Flights[i].Parts {
 				g.Flights[i].Parts[j].Room = "x" + g.Flights[i].Parts[j].Room
 			}
-			if g.Flights[i].Was != "" {
-				g.Flights[i].Was = "x" + g.Flights[i].Was
+			if g.Flights[i].CurrentHost != "" {
+				g.Flights[i].CurrentHost = "x" + g.Flights[i].CurrentHost
 			}
 		}
 		slices.Reverse(g.Hosts)
@@ -89,7 +89,7 @@
 func TestWithoutTimeThereIsAnAnswer(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		f := fleets(t)
-		quick := Solve(f, Limit{Stop: func() bool { return true }})
+		quick := Solve(f, SearchLimit{Stop: func() bool { return true }})
 		s := &search{problem: compile(f)}
 		assert.GreaterOrEqual(t, quick.Total, s.value(s.equal()).Total-1e-9)
 		assert.GreaterOrEqual(t, quick.Bound, Solve(f, steps).Total-1e-6)
@@ -109,7 +109,7 @@
 		}
 		for _, fl := range a.Flights {
 			at := map[string]bool{}
-			for _, s := range fl.At {
+			for _, s := range fl.Loads {
 				load[s.Host] += s.Load
 				placed += s.Load
 				if !at[s.Host] {
@@ -122,16 +122,16 @@
 			assert.InDelta(t, asked, placed, 1e-9*max(asked, 1))
 			for i := range f.Hosts {
 				h := &f.Hosts[i]
-				assert.LessOrEqual(t, load[h.ID]+f.Prices.Piece*float64(held[h.ID]), h.Serves(&f.Prices)*(1+1e-6)+1e-9)
+				assert.LessOrEqual(t, load[h.ID]+f.Prices.PerHostOverhead*float64(held[h.ID]), h.UsableCapacity(&f.Prices)*(1+1e-6)+1e-9)
 			}
-			assert.Zero(t, a.Shed)
+			assert.Zero(t, a.ShedWorth)
 		}
 		assert.LessOrEqual(t, a.Total, a.Bound+1e-9*max(1, a.Bound))
 	})
 }
 
 func one(capacity float64, loads ...float64) *Fleet {
-	f := &Fleet{Prices: Usual(), Hosts: []Host{{ID: "h", Room: "a", Capacity: capacity}}}
+	f := &Fleet{Prices: DefaultPrices(), Hosts: []Host{{ID: "h", Room: "a", Capacity: capacity}}}
 	for i, l := range loads {
 		f.Flights = append(f.Flights, Flight{ID: uint64(i), Parts: []Part{{"a", l, l}}})
 	}
@@ -139,7 +139,7 @@
 }
 
 func TestHardCases(t *testing.T) {
-	nothing := Solve(&Fleet{Prices: Usual()}, steps)
+	nothing := Solve(&Fleet{Prices: DefaultPrices()}, steps)
 	assert.True(t, nothing.Feasible)
 	assert.Zero(t, nothing.Total)
 
@@ -147,7 +147,7 @@
 	none.Hosts = nil
 	a := Solve(none, steps)
 	assert.False(t, a.Feasible)
-	assert.Equal(t, 10.0, a.Shed)
+	assert.Equal(t, 10.0, a.ShedWorth)
 
 	idle := Solve(one(50), steps)
 	assert.True(t, idle.Feasible)
@@ -158,11 +158,11 @@
 
 	for _, scale := range []float64{1e-9, 1e9} { // figures of any size
 		f := one(100*scale, 20*scale, 30*scale)
-		f.Prices.Piece = 3 * scale
+		f.Prices.PerHostOverhead = 3 * scale
 		a := Solve(f, steps)
 		assert.Equal(t, Exact, a.Method)
 		assert.True(t, a.Feasible)
-		assert.InDelta(t, 50*scale, a.Served, 1e-9*scale)
+		assert.InDelta(t, 50*scale, a.ServedWorth, 1e-9*scale)
 	}
 
 	large := one(50, 200) // a flight larger than any host is cut
@@ -171,12 +171,12 @@
 	}
 	a = Solve(large, steps)
 	assert.True(t, a.Feasible)
-	assert.GreaterOrEqual(t, a.Pieces, 5)
+	assert.GreaterOrEqual(t, a.FlightHostPairs, 5)
 }
 
 // One room with more traffic than its own hosts carry sends on what does not fit, and no more.
 func TestARoomTooSmallSendsOnTheRest(t *testing.T) {
-	f := &Fleet{Prices: Usual()}
+	f := &Fleet{Prices: DefaultPrices()}
 	for i := range 4 {
 		f.Hosts = append(f.Hosts, Host{ID: fmt.Sprint(i), Room: []string{"a", "b"}[i%2], Capacity: 50})
 	}
@@ -185,15 +185,15 @@
 	}
 	a := Solve(f, steps)
 	require.True(t, a.Feasible)
-	assert.InDelta(t, 32, a.Crossed, 1e-9, "each host takes four flights of 8 and their 3, of its 45")
+	assert.InDelta(t, 32, a.CrossedWorth, 1e-9, "each host takes four flights of 8 and their 3, of its 45")
 	flow := Shares(f)
 	assert.Equal(t, "programme", flow.By)
 	assert.InDelta(t, 90, flow.Load[0][0], 1e-6)
 	assert.InDelta(t, 78, flow.Load[0][1], 1e-6, "twelve flights of 8 and a pair's 6, but for the 90 that a serves")
-	p := Make(f, a, day, 0, 0)
-	w := p.Rooms["a"]
+	p := NewPlan(f, a, day, 0, 0)
+	w := p.RoomWeights["a"]
 	assert.InDelta(t, 90.0/78, w["0"]/w["1"], 1e-6)
-	assert.Greater(t, p.Rooms["b"]["0"], 0.0, "nothing arrives in b: its balancers have weights all the same")
+	assert.Greater(t, p.RoomWeights["b"]["0"], 0.0, "nothing arrives in b: its balancers have weights all the same")
 }
 
 // Programmes with many equal best answers, and with nothing left to choose, are solved or told.
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -5,22 +5,22 @@
 // Plan is what balancers read: weights of the endpoints for the balancers of each room, and the cells of carriers and
 // flights. Two balancers of a room that hold the same file and the same list weigh alike.
 type Plan struct {
-	Version int       `json:"version"`
-	Born    time.Time `json:"born"`
-	Inputs  string    `json:"inputs"` // hash of the fleet that it was made from
-	Method  Method    `json:"method"`
-	Value   float64   `json:"value"`
-	Bound   float64   `json:"bound"`
+	Version    int       `json:"version"`
+	Created    time.Time `json:"born"`
+	InputsHash string    `json:"inputs"` // hash of the fleet that it was made from
+	Method     Method    `json:"method"`
+	Value      float64   `json:"value"`
+	Bound      float64   `json:"bound"`
 	// In full force for Holds after its birth; then back to what discovery tells in steps, over Fades.
 	Holds Span `json:"holds"`
 	Fades Span `json:"fades"`
 	// Weights by the room of the balancer and the id of the host.
-	Rooms    map[string]map[string]float64 `json:"rooms"`
-	Hosts    []PlanHost                    `json:"hosts"`
-	Demand   map[string]float64            `json:"demand"`             // loads that arrive in each room
-	Carriers map[string]string             `json:"carriers,omitempty"` // the cell of each
-	Flights  map[string]string             `json:"flights,omitempty"`  // the cell of flights, by their keys in hexadecimal
-	Shed     []Shedding                    `json:"shed,omitempty"`     // what the fleet cannot serve, the least worth first
+	RoomWeights map[string]map[string]float64 `json:"rooms"`
+	Hosts       []PlanHost                    `json:"hosts"`
+	Demand      map[string]float64            `json:"demand"`             // loads that arrive in each room
+	Carriers    map[string]string             `json:"carriers,omitempty"` // the cell of each
+	Flights     map[string]string             `json:"flights,omitempty"`  // the cell of flights, by their keys in hexadecimal
+	ShedDemand  []CarrierShed                 `json:"shed,omitempty"`     // what the fleet cannot serve, the least worth first
 
 	cells map[uint64]string // Flights by key
 }
@@ -33,8 +33,8 @@
 	Serves float64 `json:"serves"` // loads within the aims
 }
 
-// Shedding is demand of a carrier that a plan has no place for.
-type Shedding struct {
+// CarrierShed is demand of a carrier that a plan has no place for.
+type CarrierShed struct {
 	Carrier string  `json:"carrier"`
 	Load    float64 `json:"load"`
 	Worth   float64 `json:"worth"`
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -23,7 +23,7 @@
 
 // two rooms of three hosts; far more arrives in a than its hosts serve.
 func skewed() (*Fleet, []policy.Server) {
-	f := &Fleet{Prices: Usual()}
+	f := &Fleet{Prices: DefaultPrices()}
 	var list []policy.Server
 	for i := range 6 {
 		id, room := fmt.Sprint("h", i), []string{"a", "b"}[i%2]
@@ -38,7 +38,7 @@
 
 func plan() (*Plan, []policy.Server) {
 	f, list := skewed()
-	return Make(f, Solve(f, steps), day, time.Hour, 8*time.Minute), list
+	return NewPlan(f, Solve(f, steps), day, time.Hour, 8*time.Minute), list
 }
 
 // share is what of the weights hosts of a room have.
@@ -149,12 +149,12 @@
 // Cells as hosts: flights and carriers are given to them.
 func TestPlansOverCells(t *testing.T) {
 	f, _ := skewed()
-	f.Hosts = []Host{{ID: "north", Room: "a", Capacity: 150, Spread: 2}, {ID: "south", Room: "b", Capacity: 150, Spread: 2}}
+	f.Hosts = []Host{{ID: "north", Room: "a", Capacity: 150, HostsPerFlight: 2}, {ID: "south", Room: "b", Capacity: 150, HostsPerFlight: 2}}
 	for i := range f.Flights {
 		f.Flights[i].Carrier = f.Flights[i].Parts[0].Room
 	}
-	p := Make(f, Solve(f, steps), day, time.Hour, 0)
-	assert.Nil(t, p.Rooms)
+	p := NewPlan(f, Solve(f, steps), day, time.Hour, 0)
+	assert.Nil(t, p.RoomWeights)
 	assert.Len(t, p.Flights, 16)
 	assert.Equal(t, "south", p.Carriers["b"])
 	again, err := ParsePlan(must(json.Marshal(p)))
@@ -171,13 +171,13 @@
 
 // What the fleet cannot serve is told, by carrier, the least worth a load first.
 func TestWhatIsShedIsTold(t *testing.T) {
-	f := &Fleet{Prices: Usual(), Hosts: []Host{{ID: "h", Room: "a", Capacity: 40}}}
+	f := &Fleet{Prices: DefaultPrices(), Hosts: []Host{{ID: "h", Room: "a", Capacity: 40}}}
 	for i, worth := range []float64{1, 3, 0.2, 0.1} {
 		f.Flights = append(f.Flights, Flight{ID: uint64(i), Carrier: fmt.Sprint(worth), Parts: []Part{{"a", 14, 14 * worth}}})
 	}
-	p := Make(f, Solve(f, steps), day, 0, 0)
+	p := NewPlan(f, Solve(f, steps), day, 0, 0)
 	var names []string
-	for _, s := range p.Shed {
+	for _, s := range p.ShedDemand {
 		names = append(names, s.Carrier)
 	}
 	assert.Equal(t, []string{"0.1", "0.2"}, names)
@@ -206,7 +206,7 @@
 	}
 	for _, h := range e.Hosts() {
 		off += math.Abs(h.Capacity/truth[h.ID]-1) / hosts
-		if math.Abs(h.Capacity-truth[h.ID]) <= 2*h.Error*h.Capacity {
+		if math.Abs(h.Capacity-truth[h.ID]) <= 2*h.CapacityError*h.Capacity {
 			within++
 		}
 	}
@@ -221,22 +221,22 @@
 	for i := range 20 {
 		for b := range 2 {
 			rec := Record{Version: 1, At: day.UnixMilli() + int64(i*1000+b), Balancer: fmt.Sprint("n", b), Room: []string{"a", "b"}[b],
-				Hosts:  []RecordedHost{{ID: "h0", Room: "a", Kind: "k", X0: 0.5}, {ID: "h1", Room: "b", Kind: "k", Age: -1}},
-				Stands: []Stand{{Key: "f1", Carrier: "x", Host: "h0", Open: map[string]int{"lookup": 2, "seat-set": 1}}}}
+				Hosts:       []RecordedHost{{ID: "h0", Room: "a", Kind: "k", X0: 0.5}, {ID: "h1", Room: "b", Kind: "k", Age: -1}},
+				Connections: []FlightConnections{{Key: "f1", Carrier: "x", Host: "h0", OpenByClass: map[string]int{"lookup": 2, "seat-set": 1}}}}
 			text.Write(must(json.Marshal(rec)))
 			text.WriteByte('\n')
 		}
 	}
 	text.WriteString(`{"v":1,"at":17`)
-	g := NewGatherer(UsualClasses(), 3, time.Second)
+	g := NewFleetBuilder(DefaultClassLoads(), 3, time.Second)
 	require.NoError(t, g.Read(strings.NewReader(text.String())))
-	assert.Equal(t, 1, g.Refused)
-	f, err := g.Fleet(Usual())
+	assert.Equal(t, 1, g.RejectedLines)
+	f, err := g.Fleet(DefaultPrices())
 	require.NoError(t, err)
 	require.Len(t, f.Hosts, 2)
 	assert.InDelta(t, 26, f.Hosts[0].Capacity, 1e-6, "two balancers with 5 loads each and one flight, at an x0 of a half")
 	assert.InDelta(t, 26, f.Hosts[1].Capacity, 1e-6)
-	assert.Greater(t, f.Hosts[1].Error, 2*f.Hosts[0].Error)
+	assert.Greater(t, f.Hosts[1].CapacityError, 2*f.Hosts[0].CapacityError)
 	require.Len(t, f.Flights, 1)
 	for i, room := range []string{"a", "b"} {
 		part := f.Flights[0].Parts[i]
@@ -272,7 +272,7 @@
 		if err != nil || len(fleet.Hosts) > 50 || len(fleet.Flights) > 50 {
 			return
 		}
-		a := Solve(fleet, Limit{Steps: 500})
+		a := Solve(fleet, SearchLimit{MaxSteps: 500})
 		if math.IsNaN(a.Total) || a.Total > a.Bound*(1+1e-9)+1e-9 {
 			t.Fatalf("worth %v, bound %v", a.Total, a.Bound)
 		}
--- a/internal/placement/problem.go
+++ b/internal/placement/problem.go
@@ -103,8 +103,8 @@
 		r := at.rooms[h.Room]
 		p.room = append(p.room, r)
 		p.byRoom[r] = append(p.byRoom[r], j)
-		p.serves = append(p.serves, h.Serves(&f.Prices))
-		p.over = append(p.over, f.Prices.Piece*h.spread())
+		p.serves = append(p.serves, h.UsableCapacity(&f.Prices))
+		p.over = append(p.over, f.Prices.PerHostOverhead*h.spread())
 	}
 	p.least, p.home = make([]float64, len(p.rooms)), make([]bool, len(p.hosts))
 	for r, hosts := range p.byRoom {
@@ -139,7 +139,7 @@
 
 // cutUnit is the load over which a part is cut.
 func (p *problem) cutUnit() float64 {
-	unit := wholeUpTo * p.prices.Piece
+	unit := wholeUpTo * p.prices.PerHostOverhead
 	if unit == 0 {
 		for i := range p.fleet.Flights {
 			load, _ := p.fleet.Flights[i].total()
@@ -153,7 +153,7 @@
 func (p *problem) addPieces(n int, unit float64, at indexes) (sum float64) {
 	fl := &p.fleet.Flights[p.flights[n]]
 	p.from = append(p.from, len(p.pieces))
-	was, known := at.hosts[fl.Was]
+	was, known := at.hosts[fl.CurrentHost]
 	if !known {
 		was = none
 	}
--- a/internal/placement/record.go
+++ b/internal/placement/record.go
@@ -7,12 +7,12 @@
 
 // Record is what a balancer saw at a moment; a record file holds one a line, in JSON.
 type Record struct {
-	Version  int            `json:"v"`
-	At       int64          `json:"at"` // Unix time, ms
-	Balancer string         `json:"balancer"`
-	Room     string         `json:"room"`
-	Hosts    []RecordedHost `json:"hosts"`
-	Stands   []Stand        `json:"stands"`
+	Version     int                 `json:"v"`
+	At          int64               `json:"at"` // Unix time, ms
+	Balancer    string              `json:"balancer"`
+	Room        string              `json:"room"`
+	Hosts       []RecordedHost      `json:"hosts"`
+	Connections []FlightConnections `json:"stands"`
 
 	at map[held]int // where in Stands
 }
@@ -23,18 +23,18 @@
 	host string
 }
 
-// Count counts an established connection of a flight on a host.
-func (r *Record) Count(key uint64, carrier, host, class string) {
+// CountConnection counts an established connection of a flight on a host.
+func (r *Record) CountConnection(key uint64, carrier, host, class string) {
 	i, known := r.at[held{key, host}]
 	if !known {
 		if r.at == nil {
 			r.at = map[held]int{}
 		}
-		i = len(r.Stands)
+		i = len(r.Connections)
 		r.at[held{key, host}] = i
-		r.Stands = append(r.Stands, Stand{Key: strconv.FormatUint(key, 16), Carrier: carrier, Host: host, Open: map[string]int{}})
+		r.Connections = append(r.Connections, FlightConnections{Key: strconv.FormatUint(key, 16), Carrier: carrier, Host: host, OpenByClass: map[string]int{}})
 	}
-	r.Stands[i].Open[class]++
+	r.Connections[i].OpenByClass[class]++
 }
 
 // RecordedHost is an endpoint as its last load report and the list tell of it.
@@ -47,10 +47,10 @@
 	Age     int64   `json:"age"`     // of the report, ms; below 0 where there is none
 }
 
-// Stand is connections of a flight on a host, by class.
-type Stand struct {
-	Key     string         `json:"key"`
-	Carrier string         `json:"carrier,omitempty"`
-	Host    string         `json:"host"`
-	Open    map[string]int `json:"open"`
+// FlightConnections is connections of a flight on a host, by class.
+type FlightConnections struct {
+	Key         string         `json:"key"`
+	Carrier     string         `json:"carrier,omitempty"`
+	Host        string         `json:"host"`
+	OpenByClass map[string]int `json:"open"`
 }
--- a/internal/placement/shares.go
+++ b/internal/placement/shares.go
@@ -26,7 +26,7 @@
 		if c.load <= 0 {
 			continue
 		}
-		load := c.load + pair*p.prices.Piece*c.load/part[[2]int{c.flight, c.room}]
+		load := c.load + pair*p.prices.PerHostOverhead*c.load/part[[2]int{c.flight, c.room}]
 		level := int(math.Round(2 * math.Log2(max(c.worth/load, 1e-12)))) // levels of worth, half a doubling each
 		key := [2]int{c.room, max(min(level, 12), -12)}
 		d := at[key]
@@ -96,25 +96,25 @@
 // keys is the keys of a map in order, so that nothing depends on chance.
 func keys[V any](m map[string]V) []string { return slices.Sorted(maps.Keys(m)) }
 
-// Even is a fleet whose hosts are taken to serve no more than so many times the fleet's mean fullness, so that a plan
+// LimitUtilisation is a fleet whose hosts are taken to serve no more than so many times the fleet's mean fullness, so that a plan
 // leaves every room nearly as much headroom as another. What a plan cannot see (keys that fall together, load that is
 // late to show) then meets as much of it everywhere; without, a room is filled up to its limit before any load leaves
 // it. It is done to a fleet before it is solved: more capacity still is never worth less. Demand over what the fleet
 // serves leaves it as it is.
-func Even(f *Fleet, times float64) *Fleet {
+func LimitUtilisation(f *Fleet, times float64) *Fleet {
 	demand, capacity, cells := 0.0, 0.0, f.cells()
 	for i := range f.Flights {
 		pairs := len(f.Flights[i].Parts)
 		if cells {
 			pairs = 1
 		}
-		demand += float64(pairs) * pair * f.Prices.Piece
+		demand += float64(pairs) * pair * f.Prices.PerHostOverhead
 		for _, p := range f.Flights[i].Parts {
 			demand += p.Load
 		}
 	}
 	for i := range f.Hosts {
-		capacity += f.Hosts[i].Serves(&f.Prices)
+		capacity += f.Hosts[i].UsableCapacity(&f.Prices)
 	}
 	if times <= 0 || capacity <= 0 || demand*times >= capacity {
 		return f
@@ -129,17 +129,17 @@
 
 // cells tells that the fleet's hosts are cells.
 func (f *Fleet) cells() bool {
-	return slices.ContainsFunc(f.Hosts, func(h Host) bool { return h.Spread > 1 })
+	return slices.ContainsFunc(f.Hosts, func(h Host) bool { return h.HostsPerFlight > 1 })
 }
 
-// Rooms is a fleet whose hosts are its rooms, each a cell of this name: a plan for it has every flight in one room.
-func Rooms(f *Fleet) *Fleet {
+// RoomsAsCells is a fleet whose hosts are its rooms, each a cell of this name: a plan for it has every flight in one room.
+func RoomsAsCells(f *Fleet) *Fleet {
 	out, at := *f, map[string]*Host{}
 	out.Hosts = nil
 	for i := range f.Hosts {
 		h := &f.Hosts[i]
 		if at[h.Room] == nil {
-			at[h.Room] = &Host{ID: h.Room, Room: h.Room, Spread: pair}
+			at[h.Room] = &Host{ID: h.Room, Room: h.Room, HostsPerFlight: pair}
 		}
 		at[h.Room].Capacity += h.present() // errors of many hosts even out; what is left of them is told as none
 	}
--- a/internal/placement/solve.go
+++ b/internal/placement/solve.go
@@ -18,13 +18,13 @@
 	Equal    Method = "equal"    // each flight by its key, all hosts alike
 )
 
-// Limit bounds a search. Steps count placements that were evaluated and are the same on every machine; Stop, asked now
+// SearchLimit bounds a search. Steps count placements that were evaluated and are the same on every machine; Stop, asked now
 // and then, ends it early.
-type Limit struct {
-	Steps int                                   // 0: none
-	Stop  func() bool                           // nil: never
-	Tell  func(worth, bound float64, steps int) // told now and then, if set
-	Seed  uint64
+type SearchLimit struct {
+	MaxSteps int                                   // 0: none
+	Stop     func() bool                           // nil: never
+	Progress func(worth, bound float64, steps int) // told now and then, if set
+	Seed     uint64
 }
 
 const (
@@ -38,7 +38,7 @@
 )
 
 // Solve places a fleet's flights. The fleet must have passed Check.
-func Solve(f *Fleet, limit Limit) *Answer {
+func Solve(f *Fleet, limit SearchLimit) *Solution {
 	s := &search{problem: compile(f), limit: limit, rng: rand.New(rand.NewPCG(limit.Seed, seedStream))}
 	method := s.start()
 	if !s.ended() {
@@ -50,8 +50,8 @@
 	return s.answer(method)
 }
 
-// Standing is the fleet as it is: flights on the hosts that the plan in force has them on, the rest by their keys.
-func Standing(f *Fleet) *Answer {
+// CurrentPlacement is the fleet as it is: flights on the hosts that the plan in force has them on, the rest by their keys.
+func CurrentPlacement(f *Fleet) *Solution {
 	s := &search{problem: compile(f)}
 	s.best = s.equal()
 	for i := range s.pieces {
@@ -66,7 +66,7 @@
 // search holds the best placement so far.
 type search struct {
 	*problem
-	limit   Limit
+	limit   SearchLimit
 	rng     *rand.Rand
 	best    []int32
 	total   float64
@@ -110,14 +110,14 @@
 
 // ended tells that the search is to end.
 func (s *search) ended() bool {
-	if s.stopped || s.limit.Steps > 0 && s.steps >= s.limit.Steps {
+	if s.stopped || s.limit.MaxSteps > 0 && s.steps >= s.limit.MaxSteps {
 		return true
 	}
 	if s.steps >= s.asked {
 		s.asked = s.steps + askEvery
 		s.stopped = s.limit.Stop != nil && s.limit.Stop()
-		if s.limit.Tell != nil {
-			s.limit.Tell(s.total, s.bound, s.steps)
+		if s.limit.Progress != nil {
+			s.limit.Progress(s.total, s.bound, s.steps)
 		}
 	}
 	return s.stopped
--- a/internal/placement/value.go
+++ b/internal/placement/value.go
@@ -22,16 +22,16 @@
 
 // Value is what a placement is worth a second, and of what that is made.
 type Value struct {
-	Total    float64 // served, less what follows
-	Served   float64 // worth of what is served
-	Shed     float64 // worth of what is not
-	ShedLoad float64 // and its load
-	Crossing float64 // what crossing costs
-	Waste    float64 // what holding flights on more than one host costs
-	Moved    float64
-	Crossed  float64 // worth that crosses
-	Pieces   int     // pairs of flight and host
-	Feasible bool
+	Total           float64 // served, less what follows
+	ServedWorth     float64 // worth of what is served
+	ShedWorth       float64 // worth of what is not
+	ShedLoad        float64 // and its load
+	Crossing        float64 // what crossing costs
+	Waste           float64 // what holding flights on more than one host costs
+	Moved           float64
+	CrossedWorth    float64 // worth that crosses
+	FlightHostPairs int     // pairs of flight and host
+	Feasible        bool
 }
 
 // tolerance is what sums of floating point may be off by, as a share.
@@ -47,7 +47,7 @@
 		if h == none {
 			if p.pieces[i].worth > 0 || p.pieces[i].load > 0 {
 				v.Feasible = false
-				v.Shed += p.pieces[i].worth
+				v.ShedWorth += p.pieces[i].worth
 				v.ShedLoad += p.pieces[i].load
 			}
 			continue
@@ -65,14 +65,14 @@
 // add counts what a host is worth.
 func (v *Value) add(total float64, d *detail) {
 	v.Total += total
-	v.Served += d.served
+	v.ServedWorth += d.served
 	v.Crossing += d.crossing
 	v.Waste += d.waste
 	v.Moved += d.moved
-	v.Crossed += d.crossed
-	v.Shed += d.shed
+	v.CrossedWorth += d.crossed
+	v.ShedWorth += d.shed
 	v.ShedLoad += d.shedLoad
-	v.Pieces += d.pieces
+	v.FlightHostPairs += d.pieces
 	if d.shedLoad > 0 {
 		v.Feasible = false
 	}
--- a/internal/placement/weigh.go
+++ b/internal/placement/weigh.go
@@ -13,7 +13,7 @@
 
 // Force is how far a plan is in force at a time (Unix time), from 1 to 0, and when that changes next; 0 for never.
 func (p *Plan) Force(now time.Duration) (force float64, next time.Duration) {
-	born := time.Duration(p.Born.UnixNano())
+	born := time.Duration(p.Created.UnixNano())
 	end := born + time.Duration(p.Holds)
 	step := time.Duration(p.Fades) / fadeSteps
 	switch {
@@ -34,11 +34,11 @@
 func (p *Plan) Weigh(now time.Duration, room string, list []policy.Server) map[string]float64 {
 	force, _ := p.Force(now)
 	told := toldWeights(list)
-	if force == 0 || len(p.Hosts) == 0 || p.Rooms[room] == nil {
+	if force == 0 || len(p.Hosts) == 0 || p.RoomWeights[room] == nil {
 		return told
 	}
 	hosts, same := p.present(list)
-	planned := p.Rooms[room]
+	planned := p.RoomWeights[room]
 	if !same || len(planned) != len(p.Hosts) {
 		planned = p.anew(hosts)[room]
 	}
--- a/internal/placement/weigher.go
+++ b/internal/placement/weigher.go
@@ -11,24 +11,24 @@
 	"tealtiller/policy"
 )
 
-// Weigher stands between the list of desk hosts and whoever takes it: it keeps the list as told and hands it on with the
+// WeightApplier stands between the list of desk hosts and whoever takes it: it keeps the list as told and hands it on with the
 // weights of a plan. Without a plan it hands on what comes, as it comes. It changes nothing but weights: no state, no
 // start, no host more or less.
-type Weigher struct {
+type WeightApplier struct {
 	plan  *Plan
 	room  string // of the balancer
 	list  map[string]policy.Server
 	given map[string]float64
 }
 
-// NewWeigher makes one for a balancer of a room; the plan may be nil.
-func NewWeigher(plan *Plan, room string) *Weigher {
-	return &Weigher{plan: plan, room: room, list: map[string]policy.Server{}, given: map[string]float64{}}
+// NewWeightApplier makes one for a balancer of a room; the plan may be nil.
+func NewWeightApplier(plan *Plan, room string) *WeightApplier {
+	return &WeightApplier{plan: plan, room: room, list: map[string]policy.Server{}, given: map[string]float64{}}
 }
 
-// Take takes what is told of the list, and returns what is to be handed on in its place: besides, those whose weight
+// Apply takes what is told of the list, and returns what is to be handed on in its place: besides, those whose weight
 // has changed by it.
-func (w *Weigher) Take(now time.Duration, kind policy.MembersKind, entries []policy.Server) []policy.Server {
+func (w *WeightApplier) Apply(now time.Duration, kind policy.MembersKind, entries []policy.Server) []policy.Server {
 	if kind == policy.WatchFailed {
 		return entries
 	}
@@ -46,7 +46,7 @@
 	if w.plan == nil {
 		return entries
 	}
-	out, list := slices.Clone(entries), w.Listed()
+	out, list := slices.Clone(entries), w.Servers()
 	weights := w.plan.Weigh(now, w.room, list)
 	for i := range out {
 		if x, listed := weights[out[i].ID]; listed && out[i].State != policy.Gone {
@@ -57,7 +57,7 @@
 }
 
 // changed is the listed hosts whose weight is another than was handed on.
-func (w *Weigher) changed(list []policy.Server, weights map[string]float64) (out []policy.Server) {
+func (w *WeightApplier) changed(list []policy.Server, weights map[string]float64) (out []policy.Server) {
 	for _, s := range list {
 		x := weights[s.ID]
 		if old, given := w.given[s.ID]; !given || old != x {
@@ -68,8 +68,8 @@
 	return out
 }
 
-// Replan takes another plan, or none, and returns the hosts whose weight is another by it.
-func (w *Weigher) Replan(now time.Duration, plan *Plan, room string) []policy.Server {
+// SetPlan takes another plan, or none, and returns the hosts whose weight is another by it.
+func (w *WeightApplier) SetPlan(now time.Duration, plan *Plan, room string) []policy.Server {
 	old := w.plan
 	w.plan, w.room = plan, room
 	switch {
@@ -79,10 +79,10 @@
 				w.given[id] = s.Weight
 			}
 		}
-		list := w.Listed()
+		list := w.Servers()
 		return w.changed(list, plan.Weigh(now, room, list))
 	case old != nil: // as discovery tells
-		out := w.Listed()
+		out := w.Servers()
 		out = slices.DeleteFunc(out, func(s policy.Server) bool { return w.given[s.ID] == s.Weight })
 		clear(w.given)
 		return out
@@ -90,8 +90,8 @@
 	return nil
 }
 
-// Next is when weights change by themselves; 0 for never.
-func (w *Weigher) Next(now time.Duration) time.Duration {
+// NextChange is when weights change by themselves; 0 for never.
+func (w *WeightApplier) NextChange(now time.Duration) time.Duration {
 	if w.plan == nil {
 		return 0
 	}
@@ -99,25 +99,25 @@
 	return next
 }
 
-// Listed is the list as told, in order of the ids.
-func (w *Weigher) Listed() []policy.Server {
+// Servers is the list as told, in order of the ids.
+func (w *WeightApplier) Servers() []policy.Server {
 	return slices.SortedFunc(maps.Values(w.list), func(a, b policy.Server) int { return cmp.Compare(a.ID, b.ID) })
 }
 
-// Figures tell of a plan in force.
-type Figures struct {
+// PlanStatus tell of a plan in force.
+type PlanStatus struct {
 	Force          float64
 	Age            time.Duration
 	Known, Unknown int // listed hosts that the plan names, and that it does not
 	Missing        int // hosts of the plan that are not listed
 }
 
-// Figures is nil without a plan.
-func (w *Weigher) Figures(now time.Duration) *Figures {
+// Status is nil without a plan.
+func (w *WeightApplier) Status(now time.Duration) *PlanStatus {
 	if w.plan == nil {
 		return nil
 	}
-	f := &Figures{Age: now - time.Duration(w.plan.Born.UnixNano())}
+	f := &PlanStatus{Age: now - time.Duration(w.plan.Created.UnixNano())}
 	f.Force, _ = w.plan.Force(now)
 	for _, h := range w.plan.Hosts {
 		if _, listed := w.list[h.ID]; listed {
--- a/internal/placement/weigher_test.go
+++ b/internal/placement/weigher_test.go
@@ -17,7 +17,7 @@
 func TestAWeigherChangesWeightsAlone(t *testing.T) {
 	p, list := plan()
 	rapid.Check(t, func(t *rapid.T) {
-		w, now := NewWeigher(nil, "a"), at(0)
+		w, now := NewWeightApplier(nil, "a"), at(0)
 		told, taken := map[string]policy.Server{}, map[string]policy.Server{}
 		var plan *Plan
 		take := func(handed []policy.Server) {
@@ -50,24 +50,24 @@
 						delete(told, s.ID)
 					}
 				}
-				take(w.Take(now, kind, news))
+				take(w.Apply(now, kind, news))
 			},
-			"failed": func(t *rapid.T) { assert.Empty(t, w.Take(now, policy.WatchFailed, nil)) },
+			"failed": func(t *rapid.T) { assert.Empty(t, w.Apply(now, policy.WatchFailed, nil)) },
 			"plan": func(t *rapid.T) {
 				if plan = nil; rapid.Bool().Draw(t, "planned") {
 					plan = p
 				}
-				take(w.Replan(now, plan, "a"))
+				take(w.SetPlan(now, plan, "a"))
 			},
 			"later": func(t *rapid.T) {
 				now += time.Duration(rapid.IntRange(0, 30).Draw(t, "minutes")) * time.Minute
-				take(w.Replan(now, plan, "a"))
+				take(w.SetPlan(now, plan, "a"))
 			},
 			"": func(t *rapid.T) {
 				require.Len(t, taken, len(told))
 				weights := map[string]float64{}
 				if plan != nil {
-					weights = plan.Weigh(now, "a", w.Listed())
+					weights = plan.Weigh(now, "a", w.Servers())
 				}
 				for id, s := range told {
 					got := taken[id]
@@ -103,17 +103,17 @@
 func TestAPlanOverridesNothing(t *testing.T) {
 	p, list := plan()
 	for _, s := range list {
-		p.Rooms["a"][s.ID] = 0.1
+		p.RoomWeights["a"][s.ID] = 0.1
 	}
-	p.Rooms["a"]["h0"] = 5
+	p.RoomWeights["a"]["h0"] = 5
 	set := policy.Settings{Classes: map[string]policy.Class{"lookup": {SetupTarget: 300 * time.Millisecond}}, MaxAttempts: 6, Siblings: 1,
 		Tick: time.Millisecond, DrainGrace: 300 * time.Millisecond, ColdCapacityShare: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, OverloadSpan: time.Second}
 	run := func(state policy.State, started time.Duration, fails bool) int {
 		host := &sent{to: map[string]int{}}
-		b, w, now := policy.New(set, 1, host), NewWeigher(p, "a"), at(0)
+		b, w, now := policy.New(set, 1, host), NewWeightApplier(p, "a"), at(0)
 		told := list
 		told[0].State, told[0].Started = state, started
-		b.Members(now, policy.Full, w.Take(now, policy.Full, told))
+		b.Members(now, policy.Full, w.Apply(now, policy.Full, told))
 		for i := range 300 {
 			now += 10 * time.Millisecond
 			id, before := fmt.Sprint("r", i), host.to["h0"]
@@ -134,7 +134,7 @@
 
 // Flights leave a plan that fades one after the other; a carrier's others follow its cell.
 func TestFlightsLeaveAPlanThatFades(t *testing.T) {
-	p := &Plan{Born: day, Holds: Span(time.Hour), Fades: Span(8 * time.Minute), Carriers: map[string]string{"x": "south"}, Flights: map[string]string{"1f": "north"}}
+	p := &Plan{Created: day, Holds: Span(time.Hour), Fades: Span(8 * time.Minute), Carriers: map[string]string{"x": "south"}, Flights: map[string]string{"1f": "north"}}
 	_, ok := p.index()
 	require.True(t, ok)
 	cell, _ := p.Cell(at(0), "x", 0x1f)
@@ -160,11 +160,11 @@
 // is gone is the same for all rooms.
 func TestPlansByRoom(t *testing.T) {
 	f, list := skewed()
-	g := Even(Rooms(f), 1.05)
+	g := LimitUtilisation(RoomsAsCells(f), 1.05)
 	a := Solve(g, steps)
-	p := Make(f, a, day, time.Hour, 0)
+	p := NewPlan(f, a, day, time.Hour, 0)
 	assert.Len(t, p.Flights, 16)
-	assert.Equal(t, p.Rooms["a"], p.Rooms["b"])
+	assert.Equal(t, p.RoomWeights["a"], p.RoomWeights["b"])
 	in := map[string]int{}
 	for _, room := range p.Flights {
 		in[room]++
@@ -172,7 +172,7 @@
 	assert.InDelta(t, in["a"], in["b"], 1, "twelve arrive in a, four in b")
 	fewer := list[1:]
 	assert.Equal(t, p.Weigh(at(0), "a", fewer), p.Weigh(at(0), "b", fewer))
-	over := Even(f, 0.1)
-	assert.Equal(t, f, Even(f, 1000), "nothing is even where demand is over what is served")
+	over := LimitUtilisation(f, 0.1)
+	assert.Equal(t, f, LimitUtilisation(f, 1000), "nothing is even where demand is over what is served")
 	assert.NotEqual(t, f, over)
 }
