--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -10,7 +10,7 @@
 )
 
 func main() {
-	if err := wire.NewHost(os.Stdin, os.Stdout, os.Stderr).Run(); err != nil {
+	if err := wire.NewAdapter(os.Stdin, os.Stdout, os.Stderr).Run(); err != nil {
 		fmt.Fprintln(os.Stderr, "wirehost:", err)
 		os.Exit(1)
 	}
--- a/internal/wire/host.go
+++ b/internal/wire/host.go
@@ -11,8 +11,8 @@
 	"tealtiller/policy"
 )
 
-// Host runs the instances of one process. They share nothing but the wire's numbered lists of servers.
-type Host struct {
+// Adapter runs the instances of one process. They share nothing but the wire's numbered lists of servers.
+type Adapter struct {
 	in        *bufio.Reader
 	out       io.Writer
 	warn      io.Writer
@@ -23,16 +23,16 @@
 	instances map[int]*policy.Balancer
 }
 
-// NewHost makes a host that reads batches, writes replies and tells of trouble on warn.
-func NewHost(in io.Reader, out, warn io.Writer) *Host {
-	return &Host{
+// NewAdapter makes a host that reads batches, writes replies and tells of trouble on warn.
+func NewAdapter(in io.Reader, out, warn io.Writer) *Adapter {
+	return &Adapter{
 		in: bufio.NewReaderSize(in, 1<<20), out: out, warn: warn, dec: NewDecoder(),
 		lists: map[int][]policy.Server{}, instances: map[int]*policy.Balancer{},
 	}
 }
 
 // Run answers batches until the input ends. An end between batches is a clean one.
-func (h *Host) Run() error {
+func (h *Adapter) Run() error {
 	for {
 		begin, err := h.next()
 		if errors.Is(err, io.EOF) {
@@ -50,7 +50,7 @@
 	}
 }
 
-func (h *Host) batch(now time.Duration, turn int64) error {
+func (h *Adapter) batch(now time.Duration, turn int64) error {
 	for {
 		e, err := h.next()
 		if errors.Is(err, io.EOF) {
@@ -80,7 +80,7 @@
 }
 
 // next reads and decodes one line, passing over blank ones.
-func (h *Host) next() (*Event, error) {
+func (h *Adapter) next() (*Event, error) {
 	for {
 		h.line = h.line[:0]
 		for {
@@ -103,7 +103,7 @@
 }
 
 // guarded hands an event to its instance; a fault in the module ends the day with its text.
-func (h *Host) guarded(now time.Duration, e *Event) {
+func (h *Adapter) guarded(now time.Duration, e *Event) {
 	defer func() {
 		if fault := recover(); fault != nil {
 			fmt.Fprintf(h.warn, "fault in the module: %v\n", fault)
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -30,7 +30,7 @@
 func run(t *testing.T, in string) (out, warn string, err error) {
 	t.Helper()
 	var o, w bytes.Buffer
-	err = NewHost(strings.NewReader(in), &o, &w).Run()
+	err = NewAdapter(strings.NewReader(in), &o, &w).Run()
 	return o.String(), w.String(), err
 }
 
@@ -102,7 +102,7 @@
 
 func TestFaultBecomesException(t *testing.T) {
 	var out, warn bytes.Buffer
-	h := NewHost(strings.NewReader(""), &out, &warn)
+	h := NewAdapter(strings.NewReader(""), &out, &warn)
 	h.instances[1] = new(policy.Balancer) // never made by New: it faults on the first request
 	h.guarded(time.Second, &Event{Kind: Request, Instance: 1, Request: policy.Request{ID: "x", TTL: time.Second}})
 	if got := string(h.enc.Done(1)); !strings.Contains(got, `{"exception":{"text":"`) {
