--- a/cmd/lab/site.go
+++ b/cmd/lab/site.go
@@ -16,7 +16,7 @@
 }
 
 func (c site) Run(out io.Writer) error {
-	drawn, err := sitegen.Draw(c.Seed)
+	drawn, err := sitegen.Generate(c.Seed)
 	if err != nil {
 		return err
 	}
@@ -28,7 +28,7 @@
 	if err := os.WriteFile(path, drawn.TOML, 0o644); err != nil {
 		return err
 	}
-	for _, name := range sitegen.Linked {
+	for _, name := range sitegen.CompanionFiles {
 		if err := link(filepath.Join(c.Words, name), filepath.Join(folder, name)); err != nil {
 			return err
 		}
--- a/internal/sitegen/committed_test.go
+++ b/internal/sitegen/committed_test.go
@@ -25,7 +25,7 @@
 			continue // written by hand
 		}
 		found++
-		site, err := Draw(seed)
+		site, err := Generate(seed)
 		require.NoError(t, err)
 		assert.Equal(t, string(site.TOML), string(text), path)
 		assert.Equal(t, site.Name+".toml", filepath.Base(path))
@@ -100,7 +100,7 @@
 	require.NoError(t, err)
 	require.Len(t, paths, 6)
 	for _, path := range paths {
-		for _, name := range Linked {
+		for _, name := range CompanionFiles {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), name))
 			require.NoError(t, err, "beside the site file, or what it links to")
 		}
--- a/internal/sitegen/draft.go
+++ b/internal/sitegen/draft.go
@@ -4,7 +4,7 @@
 
 // draft fills the site file: what the axes fix as they say, the rest drawn.
 func draft(d *dice, a *Axes) *file {
-	f := &file{Name: d.siteName(), Family: "conn", Wire: Linked[0], Stock: fmt.Sprintf("co%08x", d.Uint32())}
+	f := &file{Name: d.siteName(), Family: "conn", Wire: CompanionFiles[0], Stock: fmt.Sprintf("co%08x", d.Uint32())}
 	f.Day = draftDay(d)
 	f.Scale = draftScale(d)
 	f.Load = draftLoad(d)
--- a/internal/sitegen/sitegen.go
+++ b/internal/sitegen/sitegen.go
@@ -19,12 +19,12 @@
 	TOML []byte
 }
 
-// Linked names the files that the site file needs beside it. They are the words of the protocol, which every site speaks,
+// CompanionFiles names the files that the site file needs beside it. They are the words of the protocol, which every site speaks,
 // and so are not drawn.
-var Linked = []string{"wire.json", "real.json"}
+var CompanionFiles = []string{"wire.json", "real.json"}
 
-// Draw makes the deployment of a seed: the same bytes for the same seed.
-func Draw(seed uint64) (*Site, error) {
+// Generate makes the deployment of a seed: the same bytes for the same seed.
+func Generate(seed uint64) (*Site, error) {
 	d := &dice{newRand(seed)}
 	axes := drawAxes(d)
 	f := draft(d, &axes)
--- a/internal/sitegen/sitegen_test.go
+++ b/internal/sitegen/sitegen_test.go
@@ -12,9 +12,9 @@
 
 func drawn(t *rapid.T) (*Site, *file) {
 	seed := rapid.Uint64().Draw(t, "seed")
-	site, err := Draw(seed)
+	site, err := Generate(seed)
 	require.NoError(t, err)
-	again, err := Draw(seed)
+	again, err := Generate(seed)
 	require.NoError(t, err)
 	require.Equal(t, string(site.TOML), string(again.TOML), "the same bytes for the same seed")
 	f := &file{}
