--- a/internal/discovery/mutation_test.go
+++ b/internal/discovery/mutation_test.go
@@ -106,7 +106,7 @@
 			return h
 		}
 		require.Equal(t, want, play(form+" unchanged", run).phases)
-		for c := range mutation.Cases(run, mutation.Text{Places: 60}) {
+		for c := range mutation.Cases(run, mutation.Options{MaxPositions: 60}) {
 			cases++
 			h := play(c.String(), c.Run)
 			h.client = newClient("h", None) // as after a move, or a failure that left nothing to go by
--- a/internal/mutation/mutation.go
+++ b/internal/mutation/mutation.go
@@ -29,9 +29,9 @@
 	return fmt.Sprintf("case %d: %s %d %s", c.Index, c.Kind, c.Message, c.Change)
 }
 
-// Text is what a message may be changed to beside what holds for any bytes.
-type Text struct {
-	Places int // at most so many places of a message are cut or flipped, spread evenly; 0 for all
+// Options is what a message may be changed to beside what holds for any bytes.
+type Options struct {
+	MaxPositions int // at most so many places of a message are cut or flipped, spread evenly; 0 for all
 }
 
 // edges are put in place of each whole number.
@@ -41,7 +41,7 @@
 
 // Cases yields each run with one change: a message dropped, doubled, after its successor, after all others, cut at a byte,
 // with a bit flipped, with a number at an edge, or taken by another of those that the run names.
-func Cases(run []Message, t Text) iter.Seq[Case] {
+func Cases(run []Message, t Options) iter.Seq[Case] {
 	return func(yield func(Case) bool) {
 		index := 0
 		give := func(i int, change string, messages []Message) bool {
@@ -100,11 +100,11 @@
 }
 
 // bodies are the changes within a message.
-func bodies(text []byte, t Text) iter.Seq[body] {
+func bodies(text []byte, t Options) iter.Seq[body] {
 	return func(yield func(body) bool) {
 		step := 1
-		if t.Places > 0 {
-			step = max(len(text)/t.Places, 1)
+		if t.MaxPositions > 0 {
+			step = max(len(text)/t.MaxPositions, 1)
 		}
 		for at := 0; at < len(text); at += step {
 			if !yield(body{fmt.Sprintf("cut at %d", at), text[:at]}) {
--- a/internal/mutation/mutation_test.go
+++ b/internal/mutation/mutation_test.go
@@ -11,7 +11,7 @@
 func TestEachCaseChangesOneMessage(t *testing.T) {
 	run := []Message{{"a", "b", "hello", []byte("hello 12")}, {"b", "c", "list", []byte(`{"revision":7}`)}, {"c", "a", "bye", []byte("x")}}
 	changes, cases := map[string]int{}, 0
-	for c := range Cases(run, Text{}) {
+	for c := range Cases(run, Options{}) {
 		left := 0
 		for _, m := range run {
 			if slices.ContainsFunc(c.Run, func(o Message) bool { return o.From == m.From && o.To == m.To && string(o.Body) == string(m.Body) }) {
--- a/internal/net/mutation_test.go
+++ b/internal/net/mutation_test.go
@@ -29,7 +29,7 @@
 // lines of its desk host, and at most MOVE behind them; nothing is owed and nothing stands when it has gone.
 func TestOneLineChanged(t *testing.T) {
 	cases := 0
-	for c := range mutation.Cases(lines, mutation.Text{Places: 12}) {
+	for c := range mutation.Cases(lines, mutation.Options{MaxPositions: 12}) {
 		cases++
 		t.Run(fmt.Sprint(c.Index), func(t *testing.T) {
 			t.Parallel()
