--- a/policy/akin_test.go
+++ b/policy/akin_test.go
@@ -15,7 +15,7 @@
 		servers[i].Zone, servers[i].Kind = fmt.Sprint("z", i/4), fmt.Sprint("k", i%4/2)
 	}
 	b, h := newBalancer(t, servers)
-	b.set.Zone = "z0"
+	b.settings.Zone = "z0"
 	for i, s := range servers {
 		if i%4 < 2 {
 			b.Inherit(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
@@ -26,7 +26,7 @@
 
 // whys tells why each server is passed over.
 func whys(b *Balancer, now time.Duration, servers []Server) (out []int) {
-	b.survey(now)
+	b.surveyHealth(now)
 	for _, s := range servers {
 		out = append(out, b.passOver(now, &request{}, b.servers[s.ID]))
 	}
@@ -47,7 +47,7 @@
 		case 4, 5:
 			want = ejected
 		case 6, 7:
-			want = akin
+			want = domainFailing
 		}
 		if why != want {
 			t.Errorf("server %d in zone %s: int %d, want %d", i, servers[i].Zone, why, want)
@@ -98,7 +98,7 @@
 		}
 	}
 	for i, why := range whys(b, t0, servers) {
-		if why == akin {
+		if why == domainFailing {
 			t.Errorf("server %d in zone %s is blamed for its like", i, servers[i].Zone)
 		}
 	}
@@ -115,15 +115,15 @@
 	sent := map[string]int{}
 	total := 0
 	for _, b := range siblings(n, 6*n, servers) {
-		b.set.Zone = "z0"
+		b.settings.Zone = "z0"
 		for _, s := range []*server{b.servers[servers[1].ID], b.servers[servers[6].ID]} {
-			for _, r := range append([]*request(nil), s.conns...) {
+			for _, r := range append([]*request(nil), s.connections...) {
 				b.Outcome(t0, r.id, Reset, true)
 			}
 			b.eject(t0, s)
 		}
 		for _, s := range b.list {
-			if s.Zone == "z1" && s.standing > 0 {
+			if s.Zone == "z1" && s.established > 0 {
 				b.eject(t0, s)
 			}
 		}
--- a/policy/answer_test.go
+++ b/policy/answer_test.go
@@ -45,13 +45,13 @@
 		t.Fatal("refused though a list may come")
 	}
 	b.Members(t0+100*ms, Full, fleet(3))
-	b.Wake(t0+200*ms, timerHeld)
+	b.Wake(t0+200*ms, timerWaiting)
 	if got := h.take("send"); len(got) != 1 {
 		t.Errorf("not sent when the list came: %v", got)
 	}
 	b, h = newBalancer(t, nil)
 	b.Request(t0, req("r", 1))
-	b.Wake(t0+1001*ms, timerHeld)
+	b.Wake(t0+1001*ms, timerWaiting)
 	if got := h.take("refuse"); len(got) != 1 {
 		t.Errorf("no list came for half of its time: %v", got)
 	}
@@ -116,11 +116,11 @@
 	if d := sent("first"); d != aim {
 		t.Errorf("time-out %v, want the aim", d)
 	}
-	b.again = []time.Duration{t0} // the spare attempt has been made
+	b.retryTimes = []time.Duration{t0} // the spare attempt has been made
 	if d := sent("spent"); d != 2*time.Second {
 		t.Errorf("time-out %v though no other may follow", d)
 	}
-	b.again = nil
+	b.retryTimes = nil
 	for _, s := range b.list {
 		b.eject(t0, s)
 	}
@@ -140,7 +140,7 @@
 	b.ClientGone(t0+ms, "leaves")
 	b.Members(t0+2*ms, Full, fleet(2))
 	h.actions = nil
-	b.Wake(t0+200*ms, timerHeld)
+	b.Wake(t0+200*ms, timerWaiting)
 	if sent := h.take("send"); len(sent) != 1 || sent[0].request != "stays" {
 		t.Errorf("sent %v", sent)
 	}
--- a/policy/api.go
+++ b/policy/api.go
@@ -1,76 +1,73 @@
 // Package policy makes every decision of a balancer for long-lived connections. This file is its
-// interface: the settings, the events and the actions. The decisions stand in the files that
-// deploy/balancer.toml names: the walk down the CARP ranking, and the reasons to pass over a server in it.
+// interface: the settings, the events and the actions. The files that deploy/balancer.toml names hold the
+// decisions: the walk down the CARP ranking, and the reasons to pass over a server in it.
 package policy
 
 import "time"
 
-// Times are readings of one monotonic clock with an arbitrary origin; the caller passes them in.
+// All times are readings of one monotonic clock with an arbitrary origin; the caller passes them in.
 
-// Effect says what a repeated request of a class may do.
+// Effect says whether a request of a class may be repeated.
 type Effect int
 
-// The three effects.
 const (
 	Safe   Effect = iota // may be repeated and refused at will
-	Keyed                // a repeat is discarded by the servers that share the first one's group
+	Keyed                // a repeat is discarded by the servers in the deduplication scope of the first attempt
 	Unsafe               // may be repeated only while no attempt can have run
 )
 
-// Scope is the set of servers that discard a keyed request's duplicates.
+// Scope is the set of servers that discard duplicates of a keyed request.
 type Scope int
 
-// The three scopes.
 const (
 	ScopeAll Scope = iota
 	ScopeZone
 	ScopeCell
 )
 
-// Class is one class of requests.
+// Class holds the latency targets and the repeat rules of a class of requests.
 type Class struct {
-	SetupTarget   time.Duration // a set-up within this time counts in full
-	MessageTarget time.Duration // a message on an open connection should take no longer; 0 where unknown
+	SetupTarget   time.Duration // a set-up that completes within this time has its full value
+	MessageTarget time.Duration // longest desired delay of a message on an open connection; 0 if unknown
 	Effect        Effect
 	DedupScope    Scope         // for Keyed
-	DedupWindow   time.Duration // for Keyed: how long duplicates are remembered
+	DedupWindow   time.Duration // for Keyed: how long servers remember a request to discard its duplicates
 }
 
-// Settings are what an instance is told at its start. Zero values mean "not told".
+// Settings configure a Balancer. A zero value means that the setting is not given.
 type Settings struct {
 	Classes           map[string]Class
 	MaxAttempts       int
-	Siblings          int           // balancers that share the servers, this one included; none counts as one
-	SiblingMessaging  bool          // siblings may talk to each other
-	Probes            bool          // servers may be asked for a report; see Host.Ask
-	QuotaConnections  float64       // open connections inside the tenants' shares, over all siblings; 0 where not told
-	Tick              time.Duration // least spacing of events
-	MustWatch         bool          // the list of servers comes only to those who watch it
-	MaxWatchInterval  time.Duration // without a watch, ask at least this often
-	DrainGrace        time.Duration // sends to a draining server must have ended by then
-	ColdCapacityShare float64       // least share of its capacity that a fresh server has
-	WarmAfter         time.Duration // by then it has all of it
-	OverloadFactor    float64       // a cold server falls when sent this multiple of its capacity
+	Siblings          int           // balancers that share the servers, including this one; 0 counts as 1
+	SiblingMessaging  bool          // siblings may send each other messages
+	Probes            bool          // servers may be probed for a report; see Host.Probe
+	QuotaConnections  float64       // open connections within the tenants' quotas, summed over all siblings; 0 if not given
+	Tick              time.Duration // minimum spacing of events
+	MustWatch         bool          // the list of servers has to be watched, as it is not pushed
+	MaxWatchInterval  time.Duration // longest time without a call for the list while no watch is open
+	DrainGrace        time.Duration // sends to a draining server must end within this time of the notification
+	ColdCapacityShare float64       // minimum share of its capacity that a server has when it starts
+	WarmAfter         time.Duration // age at which a server has its full capacity
+	OverloadFactor    float64       // a cold server fails when sent this multiple of its current capacity
 	OverloadSpan      time.Duration // for this long
-	// Attempts beyond each request's first are rationed: within any RetryBudgetSpan at most SpareAttempts plus
-	// AttemptShare of the requests taken in it. Without a span there is no such budget.
+	// The retry budget limits the attempts beyond the first of each request. Within any RetryBudgetSpan they may
+	// number RetryBudgetBase plus RetryBudgetRatio times the requests taken in it. Without a span there is no budget.
 	RetryBudgetSpan  time.Duration
 	RetryBudgetBase  float64
 	RetryBudgetRatio float64
-	// GoneServersUsable: a server that the list calls gone, or leaves out, may still be sent to unless this
+	// GoneServersUsable permits requests to a server that the list calls gone or leaves out, unless this
 	// instance has seen it draining.
 	GoneServersUsable bool
-	Zone              string  // where this instance stands
-	CrossZoneCost     float64 // price of each request that goes to another zone, as a share of all that is served
+	Zone              string  // zone of this instance
+	CrossZoneCost     float64 // cost of each request sent to another zone, as a share of everything served
 
-	patience   time.Duration // the longest set-up aim of any class
-	messageAim time.Duration // the shortest message aim of any class
+	longestSetupTarget    time.Duration // over all classes
+	shortestMessageTarget time.Duration // over all classes that have one
 }
 
-// State is what the list says of a server.
+// State is the phase of a server according to the list.
 type State int
 
-// The states of a listed server.
 const (
 	Gone State = iota
 	Ready
@@ -80,106 +77,104 @@
 // Server is one entry of the list of servers.
 type Server struct {
 	ID, Zone string
-	Kind     string // of machine
+	Kind     string // machine type
 	Cell     int
 	State    State
-	Weight   float64       // relative size; the ranking sees equal sizes where no positive one is told
-	Started  time.Duration // when it last started; 0 for long ago
-	// NotifiedAt is since when its state may count as told to this instance, which may hear of it later; 0 for now.
+	Weight   float64       // relative size; 1 if it is not a positive number
+	Started  time.Duration // when its process started; 0 for long ago
+	// NotifiedAt is the earliest time from which this instance may count as notified of the state, which may be
+	// before the entry arrives; 0 for the time of its arrival.
 	NotifiedAt time.Duration
 }
 
-// LongAgo is a time before any that matters.
+// LongAgo is a time before all relevant events that, unlike 0, is not read as unset.
 const LongAgo time.Duration = 1
 
-// MembersKind says how a Members event relates to the list before it.
+// MembersKind says how a Members event relates to the previous list.
 type MembersKind int
 
-// The kinds of Members events.
 const (
 	Delta       MembersKind = iota // changed entries only
 	Full                           // the whole list
-	Cached                         // the whole list as last held, perhaps out of date
-	WatchFailed                    // a Watch failed; nothing is told
+	Cached                         // the whole list as last stored, perhaps out of date
+	WatchFailed                    // a watch failed; the event has no entries
 )
 
-// Request is a client's request for a connection; the balancer owes it one final answer.
+// Request is a client's request for a connection. The balancer gives it exactly one final answer.
 type Request struct {
 	ID     string
 	Class  string
-	Key    uint64 // the connection's group where told, else its client
+	Key    uint64 // the connection's group if known, else its client
 	HasKey bool
-	TTL    time.Duration // the client gives up after this
-	// MidFlow marks packets of an open connection that now arrive here.
+	TTL    time.Duration // the client gives up after this time
+	// MidFlow marks an open connection whose packets have begun to arrive at this instance.
 	MidFlow bool
-	// Reconnecting marks a client that is back after its connection broke or was moved.
+	// Reconnecting marks a client whose previous connection broke or was moved.
 	Reconnecting  bool
-	Tenant        string // whom the client belongs to; it decides nothing here
-	PriorAttempts int    // attempts that another instance has made already
+	Tenant        string // owner of the client; not used by a Balancer
+	PriorAttempts int    // attempts already made by another instance
 }
 
-// Result is how an attempt ended.
+// Result is the outcome of an attempt.
 type Result int
 
-// The results of attempts.
 const (
 	OK Result = iota
 	Error
-	Rejected // turned away unseen
+	Rejected // the server refused the request without looking at it
 	Timeout
 	ConnectFailed
 	Reset
 	Cancelled
-	NotSent // never sent
+	NotSent // the attempt was never written
 )
 
-// MetricKind says what a note tells.
+// MetricKind is the meaning of a measurement on an open connection.
 type MetricKind int
 
-// The kinds of notes on an open connection.
 const (
-	MetricLoad  MetricKind = 1 // its load now, in microseconds of work a second
-	MetricDelay MetricKind = 2 // milliseconds that a message takes at its server now
+	MetricLoad  MetricKind = 1 // current load of the connection, in microseconds of work per second
+	MetricDelay MetricKind = 2 // current delay of a message at the server, in milliseconds
 )
 
-// Report is a server's answer to the question how it does.
+// Report is the result of a probe.
 type Report struct {
 	Answered bool
-	Load     float64       // over what it can do
-	Delay    time.Duration // that it lets expect of a message; 0 where it tells no figures
+	Load     float64       // as a fraction of the capacity of the server
+	Delay    time.Duration // expected delay of a message; 0 if the report has no figures
 }
 
 // Reason is why a request is refused or given up, for the log.
 type Reason int
 
-// The reasons.
 const (
-	NoTimeLeft       Reason = iota // the client's time is over, or too short for another attempt
-	Overload                       // shed, as the servers are overloaded
-	AttemptsUsed                   // it has had all attempts that it may have
-	NotRepeatable                  // an attempt may have run, and another would double its effect
-	RetryBudgetSpent               // attempts beyond the first are rationed
-	NoServer                       // no server may take it in its time
-	CellLimit                      // its cell is full, or takes no more now
-	ListExpired                    // the list of servers may be out of date
+	NoTimeLeft       Reason = iota // the client's deadline has passed, or leaves no time for another attempt
+	Overload                       // load shedding, as the servers are overloaded
+	AttemptsUsed                   // the request has had its maximum number of attempts
+	NotRepeatable                  // an attempt may have run, and another could repeat its effect
+	RetryBudgetSpent               // the retry budget allows no further attempt
+	NoServer                       // no server is eligible before the deadline
+	CellLimit                      // the cell is full, or takes no further request now
+	ListExpired                    // the lease on the list of servers has ended
 )
 
-var reasons = map[Reason]string{NoTimeLeft: "no time left", Overload: "overload", AttemptsUsed: "attempts used", NotRepeatable: "not repeatable",
-	RetryBudgetSpent: "retry budget spent", NoServer: "no server", CellLimit: "cell limit", ListExpired: "list expired"}
+var reasonTexts = map[Reason]string{NoTimeLeft: "no time left", Overload: "overload", AttemptsUsed: "attempts used",
+	NotRepeatable: "not repeatable", RetryBudgetSpent: "retry budget spent", NoServer: "no server",
+	CellLimit: "cell limit", ListExpired: "list expired"}
 
-// String is the reason as the log tells it.
-func (r Reason) String() string { return reasons[r] }
+// String returns the text that the log uses.
+func (r Reason) String() string { return reasonTexts[r] }
 
-// Host carries out a Balancer's actions. Requests and servers are named by their ids, attempts by their
-// number.
+// Host carries out the actions of a Balancer. Requests and servers are identified by their ids; an attempt is
+// identified by its request, which has at most one at a time.
 type Host interface {
 	Send(request, server string, timeout time.Duration)
 	Refuse(request string, retryAfter time.Duration, why Reason)
 	Fail(request string)
 	Move(request string)
-	// NotifySiblings tells all siblings how long messages take at a server, named by the hash that all rank it by.
+	// NotifySiblings sends all siblings the message delay of a server, identified by its hash in the ranking.
 	NotifySiblings(server uint32, delay time.Duration)
-	// Probe asks a server for a report; Reported tells of it, or that none came.
+	// Probe asks a server for a report. Balancer.ProbeResult receives the report, or that there was none.
 	Probe(server string)
 	Wake(at time.Duration, name int64)
 	Watch(on bool)
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -10,7 +10,7 @@
 func asking(n int, servers []Server) (out []*sibling) {
 	out = siblings(n, 0, servers)
 	for _, b := range out {
-		b.set.Probes, b.host.actions = true, nil
+		b.settings.Probes, b.host.actions = true, nil
 	}
 	return out
 }
@@ -56,7 +56,7 @@
 		t.Fatalf("asked %v, want %v", asks, rank[:2])
 	}
 	b.ProbeResult(t0+ms, rank[0], Report{Answered: true, Delay: 80 * ms}) // near its capacity
-	b.Wake(t0+2*ms, timerHeld)
+	b.Wake(t0+2*ms, timerWaiting)
 	for _, a := range b.host.actions {
 		if a.name == "send" || a.name == "ask" && a.server != rank[2] {
 			t.Fatalf("%v before the second report, or asked again while a question is out", a)
@@ -84,7 +84,7 @@
 	}
 	b.host.actions = nil
 	for at := t0 + 201*ms; at < t0+settings().Classes["safe"].SetupTarget; at += 5 * ms {
-		if b.Wake(at, timerHeld); len(b.host.take("send")) == 1 {
+		if b.Wake(at, timerWaiting); len(b.host.take("send")) == 1 {
 			return
 		}
 	}
@@ -109,7 +109,7 @@
 		all, most, sum, stand := siblings(n, 0, fleet(10)), 0, 0, map[string]int{}
 		for i := range clients {
 			b, now, q := all[i*7%n], t0+time.Duration(i)*50*ms, req(fmt.Sprint("r", i), uint64(i%3))
-			b.set.Probes, b.host.actions = asks, nil
+			b.settings.Probes, b.host.actions = asks, nil
 			b.Request(now, q)
 			for range 20 { // rounds of questions
 				acts := b.host.actions
@@ -139,10 +139,10 @@
 	for _, n := range []int{3, 80} {
 		b := asking(n, fleet(2))[0]
 		for _, s := range b.list {
-			s.delay, s.delayAt, s.heardAt = 80*ms, t0+900*ms, t0+900*ms
+			s.delay, s.delayAt, s.reportedAt = 80*ms, t0+900*ms, t0+900*ms
 		}
 		b.Request(t0, req("r", 7))
-		b.Wake(t0+1001*ms, timerHeld)
+		b.Wake(t0+1001*ms, timerWaiting)
 		if sent := len(b.host.take("send")); (sent == 1) != (n == 3) {
 			t.Errorf("%d balancers: %d sent", n, sent)
 		}
@@ -155,9 +155,9 @@
 	servers[7].Started = t0 - 5*time.Second
 	all := asking(400, servers)
 	for _, b := range all {
-		b.set.QuotaConnections = 400
+		b.settings.QuotaConnections = 400
 		for _, s := range b.list {
-			if s.heardAt = t0; s.Started == 0 {
+			if s.reportedAt = t0; s.Started == 0 {
 				s.delay, s.delayAt = 80*ms, t0
 			}
 		}
--- a/policy/budget_test.go
+++ b/policy/budget_test.go
@@ -42,7 +42,7 @@
 				sent++
 			}
 			for _, s := range b.list { // the doubt is not what is tested here
-				s.until = 0
+				s.ejectedUntil = 0
 			}
 		}
 		if sent != c.sent {
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -35,7 +35,7 @@
 	b.host.actions = nil
 	b.Members(now, kind, nil)
 	for _, wake := range b.host.take("wake") {
-		if wake.timer == timerAsk {
+		if wake.timer == timerWatch {
 			return plannedCall{b: b, at: wake.d}
 		}
 	}
@@ -75,7 +75,7 @@
 // the mean nobody is refused more than once.
 func TestListCallsOfSiblingsDoNotJamTheService(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 700, 1024} {
-		service := &listService{each: toldAfter * 3 / 4 / time.Duration(max(n, 45)), limit: 2 * time.Second}
+		service := &listService{each: notifiedWithin * 3 / 4 / time.Duration(max(n, 45)), limit: 2 * time.Second}
 		if refused, _ := callUntilAnswered(t, siblings(n, 0, fleet(100)), service, WatchFailed); refused > n/20 {
 			t.Errorf("%d siblings after an outage: %d calls refused", n, refused)
 		}
@@ -83,7 +83,7 @@
 			slow := &listService{each: settings().MaxWatchInterval * 4 / 5 / time.Duration(max(n, 80)), limit: 2 * time.Second}
 			refused, last := callUntilAnswered(t, siblings(n, 0, fleet(100)), slow, kind)
 			least := slow.each * time.Duration(max(n, 80))
-			if last > least+toldAfter*3/4 || refused > n {
+			if last > least+notifiedWithin*3/4 || refused > n {
 				t.Errorf("%d siblings, event %v: %d calls refused, the last sibling answered after %v", n, kind, refused, last)
 			}
 			if n < 10 && last > time.Second+slow.each {
@@ -114,7 +114,7 @@
 		for _, b := range siblings(n, 0, fleet(10)) {
 			for fails := range 8 {
 				wait := plan(t, b, t0, WatchFailed).at - t0
-				if latest := min(time.Duration(max(n, 24))*100*ms, toldAfter-answer); wait > latest {
+				if latest := min(time.Duration(max(n, 24))*100*ms, notifiedWithin-answer); wait > latest {
 					t.Fatalf("%d siblings, failure %d: asks %v after it, later than %v", n, fails+1, wait, latest)
 				}
 			}
--- a/policy/changes_test.go
+++ b/policy/changes_test.go
@@ -14,11 +14,11 @@
 	if len(wakes) != 1 || wakes[0].d >= t0+2*time.Second {
 		t.Fatalf("a held request set no timer before its deadline: %v", wakes)
 	}
-	b.Wake(t0+1995*ms, timerHeld)
+	b.Wake(t0+1995*ms, timerWaiting)
 	if got := h.take("refuse"); len(got) != 1 {
 		t.Errorf("refusals: %v", got)
 	}
-	if len(b.reqs) != 0 || len(b.held) != 0 {
+	if len(b.requests) != 0 || len(b.waiting) != 0 {
 		t.Error("the request is still remembered")
 	}
 }
@@ -32,7 +32,7 @@
 	b.ConnectionEstablished(t0+ms, "r")
 	b.ConnectionMetric(t0+ms, "r", MetricDelay, 5)
 	h.actions = nil
-	b.Wake(t0+100*ms, timerHeld)
+	b.Wake(t0+100*ms, timerWaiting)
 	if len(h.actions) != 0 {
 		t.Errorf("actions for a request that ended: %v", h.actions)
 	}
@@ -47,7 +47,7 @@
 		t.Errorf("went to %s though the top holds an open connection", got)
 	}
 	b.Outcome(t0+ms, "old", OK, true)
-	if n := len(b.servers[top[0]].conns); n != 0 {
+	if n := len(b.servers[top[0]].connections); n != 0 {
 		t.Errorf("%d connections after the end", n)
 	}
 }
@@ -60,7 +60,7 @@
 	for i := range 12 {
 		var at time.Duration
 		for _, w := range h.take("wake") {
-			if w.timer == timerAsk {
+			if w.timer == timerWatch {
 				at = w.d
 			}
 		}
@@ -68,7 +68,7 @@
 			t.Fatalf("asks at %v, now %v", at, now)
 		}
 		now = at
-		b.Wake(now, timerAsk)
+		b.Wake(now, timerWatch)
 		if got := h.take("watch"); len(got) != 1 {
 			t.Fatal("did not ask")
 		}
@@ -104,7 +104,7 @@
 	e := s.Server
 	e.Started = t0
 	b.Members(t0, Delta, []Server{e})
-	if t0 < s.until || b.slow(t0, s) {
+	if t0 < s.ejectedUntil || b.isSlow(t0, s) {
 		t.Error("a fresh process is held to what the old one did")
 	}
 	if b.capacityShare(t0, s) >= 1 {
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -32,7 +32,7 @@
 	f.all = siblings(n, standing, f.servers)
 	sum := 0.0
 	for i, b := range f.all {
-		b.rng, b.set.QuotaConnections, b.set.Probes = rand.New(rand.NewPCG(seed, uint64(i))), float64(standing), true
+		b.rng, b.settings.QuotaConnections, b.settings.Probes = rand.New(rand.NewPCG(seed, uint64(i))), float64(standing), true
 		sum += 1 / math.Sqrt(float64(i+1)) // some get many times what others do
 		f.parts = append(f.parts, sum)
 	}
@@ -44,7 +44,7 @@
 	anew := siblings(len(f.all), 0, f.servers)
 	for i := from; i < len(f.all); i += 3 {
 		b := anew[i]
-		b.rng, b.set.QuotaConnections, b.set.Probes = f.all[i].rng, f.all[i].set.QuotaConnections, true
+		b.rng, b.settings.QuotaConnections, b.settings.Probes = f.all[i].rng, f.all[i].settings.QuotaConnections, true
 		b.Members(now, Cached, f.servers)
 		f.all[i] = b
 	}
@@ -84,7 +84,7 @@
 				return
 			}
 			at = wake
-			b.Wake(at, timerHeld)
+			b.Wake(at, timerWaiting)
 		}
 	}
 }
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -32,11 +32,11 @@
 		b, h := newBalancer(t, fleet(10))
 		b.Lease(t0, t0)
 		b.Request(t0, Request{ID: "a", Class: class, TTL: time.Second})
-		b.Wake(t0+499*ms, timerHeld)
+		b.Wake(t0+499*ms, timerWaiting)
 		if len(h.take("refuse")) > 0 {
 			t.Fatalf("%s: refused before half of its time", class)
 		}
-		b.Wake(t0+500*ms, timerHeld)
+		b.Wake(t0+500*ms, timerWaiting)
 		if len(h.take("refuse")) != 1 {
 			t.Errorf("%s: not refused", class)
 		}
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -87,7 +87,7 @@
 			bal.ConnectionEstablished(t0, id)
 			bal.Outcome(t0, id, OK, true)
 			bal.ClientGone(t0, id)
-			bal.held, h.actions = bal.held[:0], h.actions[:0]
+			bal.waiting, h.actions = bal.waiting[:0], h.actions[:0]
 		}
 	})
 }
--- a/policy/list.go
+++ b/policy/list.go
@@ -8,136 +8,162 @@
 	"time"
 )
 
-// Members tells what is new of the list of servers. A full list that leaves a server out has removed it.
+// Members receives a change of the list of servers, or that a watch has failed. A full list removes the
+// servers that it leaves out.
 func (b *Balancer) Members(now time.Duration, kind MembersKind, entries []Server) {
-	b.watched(now, kind)
+	b.scheduleWatch(now, kind)
 	if kind == WatchFailed {
 		return
 	}
-	b.lists++
+	b.listsReceived++
 	for _, e := range entries {
 		if kind == Cached {
 			e.NotifiedAt = LongAgo
 		}
-		b.learn(now, e)
+		b.updateServer(now, e)
 	}
 	for _, s := range b.list {
-		if s.State != Gone && (kind != Delta && s.seen != b.lists || s.seen == calledGone) {
-			s.State, s.lost = Gone, now
+		if s.State != Gone &&
+			(kind != Delta && s.listedIn != b.listsReceived || s.listedIn == explicitlyGone) {
+			s.State, s.goneAt = Gone, now
 		}
 	}
-	b.forget(now)
+	b.forgetGone(now)
 }
 
-const calledGone = -1 // in place of the list that named it last
+// explicitlyGone is the value of server.listedIn if the latest entry calls the server gone.
+const explicitlyGone = -1
 
-// learn takes an entry of the list, which stays in order of id. Without a usable weight it counts as size 1.
-func (b *Balancer) learn(now time.Duration, e Server) {
+// updateServer applies an entry to the list, which is kept in order of id. An entry without a usable weight
+// counts as size 1.
+func (b *Balancer) updateServer(now time.Duration, e Server) {
 	s := b.server(e.ID)
 	if e.State == Gone {
-		s.seen = calledGone
+		s.listedIn = explicitlyGone
 		return
 	}
 	if !(e.Weight > 0) || math.IsInf(e.Weight, 0) {
 		e.Weight = 1
 	}
-	s.seen = b.lists
+	s.listedIn = b.listsReceived
 	if i, listed := slices.BinarySearchFunc(b.list, s, byID); !listed {
-		b.list, b.changed = slices.Insert(b.list, i, s), true
+		b.list, b.multipliersStale = slices.Insert(b.list, i, s), true
 	}
-	if e.State == Draining && s.State != Draining && !s.bound {
-		s.told = e.drainTold(now)
+	if e.State == Draining && s.State != Draining && !s.seenDraining {
+		s.drainNotifiedAt = e.drainNotice(now)
 	}
-	b.bind(s, &e)
-	if e.Started != s.Started { // another process, perhaps under the same id: what was learned is void
-		s.ejections, s.until, s.delay, s.slowStartLeft, s.slowStartAt = 0, 0, 0, 0, 0
+	b.keepDraining(s, &e)
+	if e.Started != s.Started { // another process under the same id: observations of the old one do not apply
+		s.ejections, s.ejectedUntil, s.delay, s.slowStartBudget, s.slowStartAt = 0, 0, 0, 0, 0
 	}
-	b.changed = b.changed || e.Weight != s.Weight
+	b.multipliersStale = b.multipliersStale || e.Weight != s.Weight
 	s.Server = e
 }
 
-// drainTold is since when an entry that drains may count as told.
-func (s Server) drainTold(now time.Duration) time.Duration {
+// drainNotice returns the earliest time from which a draining entry may count as notified.
+func (s Server) drainNotice(now time.Duration) time.Duration {
 	if s.NotifiedAt > 0 {
 		return min(s.NotifiedAt, now)
 	}
 	return now
 }
 
-// bind: seen draining, a server drains till a younger process of it is ready, whatever older lists say.
-func (b *Balancer) bind(s *server, e *Server) {
-	if !b.set.GoneServersUsable {
+// keepDraining makes sure, where gone servers are usable, that a server that was seen draining counts as
+// draining until a younger process of it is listed, whatever older lists say.
+func (b *Balancer) keepDraining(s *server, e *Server) {
+	if !b.settings.GoneServersUsable {
 		return
 	}
 	if e.State == Draining {
-		s.bound, s.boundAt = true, e.Started
-	} else if s.bound = s.bound && e.Started <= s.boundAt; s.bound {
+		s.seenDraining, s.drainingStarted = true, e.Started
+	} else if s.seenDraining = s.seenDraining && e.Started <= s.drainingStarted; s.seenDraining {
 		e.State = Draining
 	}
 	e.Started = max(e.Started, s.Started)
 }
 
-const remembered, rememberedMost = 10 * time.Minute, 1024 // of what is gone; each so many names halve it
+const (
+	// goneMemory is how long a server that is gone is remembered, where gone servers are usable.
+	goneMemory = 10 * time.Minute
+	// goneMemoryHalving is a number of known servers; each time that so many are known, goneMemory is halved.
+	goneMemoryHalving = 1024
+)
 
-func (b *Balancer) forget(now time.Duration) { // who is gone: at once where that binds
-	keep := remembered >> (len(b.servers) / rememberedMost)
+// forgetGone drops servers that are gone: after a while where gone servers are usable, otherwise at once.
+func (b *Balancer) forgetGone(now time.Duration) {
+	keep := goneMemory >> (len(b.servers) / goneMemoryHalving)
 	maps.DeleteFunc(b.servers, func(_ string, s *server) bool {
-		return s.State == Gone && len(s.conns) == 0 && (!b.set.GoneServersUsable || now-s.lost > keep)
+		return s.State == Gone && len(s.connections) == 0 &&
+			(!b.settings.GoneServersUsable || now-s.goneAt > keep)
 	})
 	before := len(b.list)
 	b.list = slices.DeleteFunc(b.list, func(s *server) bool {
-		return s.State == Gone && (!b.set.GoneServersUsable || s.bound || b.servers[s.ID] != s)
+		return s.State == Gone && (!b.settings.GoneServersUsable || s.seenDraining || b.servers[s.ID] != s)
 	})
-	b.changed = b.changed || len(b.list) != before
+	b.multipliersStale = b.multipliersStale || len(b.list) != before
 }
 
-// RemoveServer takes a server off the list, as another instance serves it from now on; what stands there goes on.
+// RemoveServer takes a server off the list, as another instance uses it from now on. Its established
+// connections stay.
 func (b *Balancer) RemoveServer(id string) {
-	b.server(id).State, b.changed = Gone, true
+	b.server(id).State, b.multipliersStale = Gone, true
 	b.list = slices.DeleteFunc(b.list, func(s *server) bool { return s.ID == id })
 }
 
-// AddServer takes a server that another instance served until now, and may just have spent its cold budget.
+// AddServer puts a server on the list that another instance used until now. That instance may just have spent
+// the server's slow start budget, so it counts as spent.
 func (b *Balancer) AddServer(now time.Duration, e Server) {
-	b.learn(now, e)
+	b.updateServer(now, e)
 	s := b.server(e.ID)
-	s.slowStartLeft, s.slowStartAt, s.slowStartLuck = 0, now, 1
-	s.told = LongAgo // told elsewhere
+	s.slowStartBudget, s.slowStartAt, s.slowStartDraw = 0, now, 1
+	s.drainNotifiedAt = LongAgo // the other instance may have been notified of a drain long before
 }
 
 func byID(s, o *server) int { return cmp.Compare(s.ID, o.ID) }
 
-// watched keeps the subscription. Danger: the list held at the start may hide what is about to count as told:
-// the first call is soon. Calls that all siblings make at once fail at once: the next ones wait at random.
-func (b *Balancer) watched(now time.Duration, kind MembersKind) {
-	if b.asking = b.set.MustWatch && (kind == WatchFailed || kind == Cached); !b.asking {
-		b.askFails = 0
+// scheduleWatch schedules the next call for the list after a start or a failed call. The first call is made
+// soon, as the stored list may lack a change that is about to count as notified. Later ones wait for a random
+// time, as calls that all siblings make at once would all fail at once.
+func (b *Balancer) scheduleWatch(now time.Duration, kind MembersKind) {
+	if b.watchPending = b.settings.MustWatch && (kind == WatchFailed || kind == Cached); !b.watchPending {
+		b.watchFailures = 0
 		return
 	}
-	gap := b.set.MaxWatchInterval / 100 * time.Duration(b.set.Siblings) // sooner, many jam it
-	least, span := time.Duration(0), min(firstCalls*time.Duration(b.set.Siblings), toldAfter/20)
+	// with a shorter one the calls of a large fleet would overload discovery
+	backoff := b.settings.MaxWatchInterval / 100 * time.Duration(b.settings.Siblings)
+	minWait, maxWait := time.Duration(0),
+		min(firstCallSpread*time.Duration(b.settings.Siblings), notifiedWithin/20)
 	if kind == WatchFailed {
-		b.askFails++
-		b.logf("list of servers: call %d in a row failed", b.askFails)
-		most := min(toldAfter*2/5, max(callsOfFew*time.Duration(b.set.Siblings), toldAfter/10))
-		span = min(gap<<min(b.askFails, 5), max(most, min(gap, toldAfter*3/4)), b.set.MaxWatchInterval*7/10)
-		least = span / 2 * time.Duration(min(b.askFails-1, 1)) // on the mean no sooner than from 0 to 7 s
+		b.watchFailures++
+		b.logf("list of servers: call %d in a row failed", b.watchFailures)
+		limit := min(notifiedWithin*2/5,
+			max(retrySpread*time.Duration(b.settings.Siblings), notifiedWithin/10))
+		maxWait = min(backoff<<min(b.watchFailures, 5), max(limit, min(backoff, notifiedWithin*3/4)),
+			b.settings.MaxWatchInterval*7/10)
+		// on average no earlier than a draw from 0 to 7 s
+		minWait = maxWait / 2 * time.Duration(min(b.watchFailures-1, 1))
 	}
-	b.host.Wake(now+least+time.Duration(b.rng.Int64N(int64(span-least)+1)), timerAsk)
+	b.host.Wake(now+minWait+time.Duration(b.rng.Int64N(int64(maxWait-minWait)+1)), timerWatch)
 }
 
-// By how much each balancer of a small fleet spreads the first call of a process, and calls after failures.
-const firstCalls, callsOfFew = 12 * time.Millisecond, 150 * time.Millisecond
-
-const toldAfter = 6 * time.Second // by then what discovery has counts as told, whatever calls failed
+const (
+	// firstCallSpread is the time per balancer over which a small fleet spreads the first calls of its
+	// processes.
+	firstCallSpread = 12 * time.Millisecond
+	// retrySpread is the time per balancer over which a small fleet spreads the calls after failures.
+	retrySpread = 150 * time.Millisecond
+	// notifiedWithin is the time after which a change that discovery has counts as notified, whatever calls
+	// failed.
+	notifiedWithin = 6 * time.Second
+)
 
-// ServerCounts is how many servers the list names, and how many of them are avoided now.
+// ServerCounts returns how many servers the list names, and how many of these are avoided now.
 func (b *Balancer) ServerCounts(now time.Duration) (listed, avoided int) {
 	for _, s := range b.list {
 		if s.State == Gone {
 			continue
 		}
-		if listed++; s.State == Draining || b.fails(now, s) || b.alike(s) {
+		if listed++; s.State == Draining || b.isFailing(now, s) || b.domainFails(s) {
 			avoided++
 		}
 	}
--- a/policy/list_test.go
+++ b/policy/list_test.go
@@ -146,7 +146,7 @@
 	if len(b.list) != 4 {
 		t.Fatalf("%d of 4 candidates left", len(b.list))
 	}
-	b.Members(t0+2*remembered, Full, nil)
+	b.Members(t0+2*goneMemory, Full, nil)
 	if len(b.list) != 0 || len(b.servers) != 0 {
 		t.Errorf("%d candidates, %d servers remembered long after", len(b.list), len(b.servers))
 	}
@@ -155,9 +155,9 @@
 		for j := range names {
 			names[j] = Server{ID: fmt.Sprint("ghost", i, "-", j), State: Ready, Weight: 1}
 		}
-		b.Members(t0+2*remembered+time.Duration(i)*time.Second, Full, names)
+		b.Members(t0+2*goneMemory+time.Duration(i)*time.Second, Full, names)
 	}
-	if len(b.servers) > 10*rememberedMost {
+	if len(b.servers) > 10*goneMemoryHalving {
 		t.Errorf("%d servers remembered", len(b.servers))
 	}
 }
@@ -223,7 +223,7 @@
 			for range 4 {
 				b.Outcome(t0+time.Duration(i)*time.Second, id, Error, false)
 			}
-			b.Wake(t0+time.Duration(i)*time.Second+1999*ms, timerHeld)
+			b.Wake(t0+time.Duration(i)*time.Second+1999*ms, timerWaiting)
 			answered += len(h.take("refuse"))
 		}
 		if answered < 18 {
--- a/policy/many_test.go
+++ b/policy/many_test.go
@@ -45,8 +45,8 @@
 					_, _ = fmt.Sscanf(a.request, "c%d-%d", &client, &tries)
 					at(now+min(a.d, 2*time.Second), come(all[rng.IntN(len(all))], client, tries+1))
 				case "wake":
-					if a.timer == timerHeld {
-						at(a.d, func(now time.Duration) { b.Wake(now, timerHeld) })
+					if a.timer == timerWaiting {
+						at(a.d, func(now time.Duration) { b.Wake(now, timerWaiting) })
 					}
 				}
 			}
@@ -99,14 +99,14 @@
 		want int        // which of them, always; -1 for either
 	}{{80, [2]float64{0.3, 0.1}, 1}, {80, [2]float64{0.1, 0.3}, 0}, {3, [2]float64{0.3, 0.1}, 0}} {
 		for i, b := range asking(c.n, servers)[:3] {
-			b.set.Zone, b.set.CrossZoneCost = "here", 0
+			b.settings.Zone, b.settings.CrossZoneCost = "here", 0
 			key := uint64(100 + i)
 			for j, id := range ids(b.Balancer, key) {
 				b.ProbeResult(t0, id, Report{Answered: true, Load: c.load[min(j, 1)]})
 			}
 			b.rng = rand.New(rand.NewPCG(uint64(i), 7))
 			q := req("r", key)
-			b.keys[carpHash(fmt.Sprint(key))], b.seen = 0, 400 // no popular key
+			b.keyCounts[carpHash(fmt.Sprint(key))], b.totalKeyCount = 0, 400 // no popular key
 			top := ids(b.Balancer, key)
 			b.Request(t0, q)
 			if sends := b.host.take("send"); len(sends) == 1 && sends[0].server != top[c.want] && sends[0].server == top[1-c.want] {
@@ -116,7 +116,7 @@
 	}
 	sent := map[string]int{}
 	for i, b := range asking(80, servers)[:60] {
-		b.set.Zone, b.set.CrossZoneCost, b.seen = "here", 0.1, 400
+		b.settings.Zone, b.settings.CrossZoneCost, b.totalKeyCount = "here", 0.1, 400
 		for _, id := range ids(b.Balancer, uint64(i)) {
 			b.ProbeResult(t0, id, Report{Answered: true})
 		}
@@ -143,20 +143,20 @@
 		b := siblings(c.n, 0, fleet(90))[0]
 		for i := range 3 {
 			q := req(fmt.Sprint("r", i), uint64(i))
-			b.failed = 0 // let in
+			b.setupFailures = 0 // let in
 			b.Request(t0, q)
-			b.failed = i
+			b.setupFailures = i
 			b.Outcome(t0, q.ID, Timeout, true)
 		}
-		if b.failed != 3 || b.overloaded() != c.shut {
-			t.Errorf("%d balancers: %d failures, refused by %v, want %v", c.n, b.failed, b.overloaded(), c.shut)
+		if b.setupFailures != 3 || b.shedProbability() != c.shut {
+			t.Errorf("%d balancers: %d failures, refused by %v, want %v", c.n, b.setupFailures, b.shedProbability(), c.shut)
 		}
 		b = siblings(c.n, 0, fleet(90))[0]
 		b.Request(t0, req("last", 9))
-		b.failed = 3
+		b.setupFailures = 3
 		b.ConnectionEstablished(t0, "last")
-		if b.failed != c.left {
-			t.Errorf("%d balancers: %d failures left, want %d", c.n, b.failed, c.left)
+		if b.setupFailures != c.left {
+			t.Errorf("%d balancers: %d failures left, want %d", c.n, b.setupFailures, c.left)
 		}
 	}
 }
--- a/policy/massclient_test.go
+++ b/policy/massclient_test.go
@@ -86,7 +86,7 @@
 	}
 	q := f.request(c)
 	c.node.asked[q.ID] = c
-	f.after(c.wait+2*c.node.module.set.Tick, func() {
+	f.after(c.wait+2*c.node.module.settings.Tick, func() {
 		if c.node.asked[q.ID] != nil {
 			f.result.Unanswered++
 		}
--- a/policy/massnode_test.go
+++ b/policy/massnode_test.go
@@ -78,7 +78,7 @@
 // look asks the hosts at which its connections stand, where that is due, and tells the module of those where a message takes
 // over a third of the shortest aim.
 func (n *massNode) look() {
-	now, third := n.run.now, n.module.set.messageAim/3
+	now, third := n.run.now, n.module.settings.shortestMessageTarget/3
 	for _, id := range slices.Sorted(maps.Keys(n.known)) {
 		r, h := n.known[id], n.run.hosts[id]
 		if r.open > 0 && now-r.askedAt >= r.every() {
@@ -136,7 +136,7 @@
 // Send has an attempt made; it ends at the host, or when its time is up.
 func (n *massNode) Send(request, server string, timeout time.Duration) {
 	h, c, now := n.run.hosts[server], n.asked[request], n.run.now
-	if told, ok := n.told[server]; ok && now > told+n.module.set.DrainGrace {
+	if told, ok := n.told[server]; ok && now > told+n.module.settings.DrainGrace {
 		n.run.result.Late++
 	}
 	if c == nil || c.out {
@@ -208,8 +208,8 @@
 }
 
 func (n *massNode) Wake(at time.Duration, name int64) {
-	if name == timerHeld {
-		n.run.after(at-n.run.now, func() { n.module.Wake(n.run.now, timerHeld) })
+	if name == timerWaiting {
+		n.run.after(at-n.run.now, func() { n.module.Wake(n.run.now, timerWaiting) })
 	}
 }
 
--- a/policy/massrun_test.go
+++ b/policy/massrun_test.go
@@ -149,7 +149,7 @@
 
 // received has a host get a request, under which a cold one may fall.
 func (f *massRun) received(h *massHost) {
-	over := h.receive(f.now, f.all[0].module.set, f.plan.lasts())
+	over := h.receive(f.now, f.all[0].module.settings, f.plan.lasts())
 	f.second.ColdMost, f.second.ColdSent = max(f.second.ColdMost, len(h.sent)), max(f.second.ColdSent, over)
 	if over > 1 && !h.down {
 		f.result.Felled++
--- a/policy/midflow_test.go
+++ b/policy/midflow_test.go
@@ -19,7 +19,7 @@
 	}
 	mid := req("mid", 3)
 	mid.MidFlow = true
-	within := b.set.DrainGrace - longestHold
+	within := b.settings.DrainGrace - maxProcessPause
 	if got := send(t, b, h, t0+within-ms, mid); got != top[0] {
 		t.Errorf("mid-flow within grace went to %s, want %s", got, top[0])
 	}
@@ -65,7 +65,7 @@
 	if got := mid("a", t0+5*time.Second); got != ranked[1] {
 		t.Errorf("the young top got it, not %s: %s", ranked[1], got)
 	}
-	if got := mid("b", t0+lasting); got != ranked[0] {
+	if got := mid("b", t0+connectionLifetime); got != ranked[0] {
 		t.Errorf("%s got it, not the top, which is old by now", got)
 	}
 	for _, id := range ranked {
@@ -89,7 +89,7 @@
 	if got := mid("a", t0); got != ranked[1] {
 		t.Errorf("%s got it, not the next after the slow one", got)
 	}
-	later := t0 + 10*noteEvery
+	later := t0 + 10*metricInterval
 	if got := mid("b", later); got != ranked[0] {
 		t.Errorf("%s got it, not the top", got)
 	}
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -20,7 +20,7 @@
 	if b.passOver(now, &request{}, s) != ejected {
 		t.Fatal("not suspect after a set-up without an answer")
 	}
-	if now = s.until; now < t0+time.Second+settings().Classes["safe"].SetupTarget/2 {
+	if now = s.ejectedUntil; now < t0+time.Second+settings().Classes["safe"].SetupTarget/2 {
 		t.Errorf("passed over for only %v", now-t0-time.Second)
 	}
 	if got := send(t, b, h, now, req("test", 3)); got != top[0] {
@@ -38,10 +38,10 @@
 	s, last, now := b.list[0], time.Duration(0), t0
 	for range 3 {
 		b.eject(now, s)
-		if span := s.until - now; span <= last {
+		if span := s.ejectedUntil - now; span <= last {
 			t.Fatalf("doubt of %v after %v", span, last)
 		} else {
-			last, now = span, s.until+ms
+			last, now = span, s.ejectedUntil+ms
 		}
 	}
 }
@@ -96,7 +96,7 @@
 	if seen, refused := whileOverloaded(b, h); len(seen) != 3 || refused < 3650 || refused == 4000 { // all but the cube of two fifths
 		t.Errorf("placed on %v, want the three that are slow and do not drain; %d of 4000 refused", seen, refused)
 	}
-	if b.survey(t0 + 3*time.Second); b.overloaded() > 0 {
+	if b.surveyHealth(t0 + 3*time.Second); b.shedProbability() > 0 {
 		t.Error("overloaded long after the last word of it")
 	}
 }
@@ -112,7 +112,7 @@
 			b.Outcome(now, a.request, Error, false)
 		}
 		b.Request(now, req(fmt.Sprint("r", i), uint64(i)*31))
-		b.Wake(now, timerHeld)
+		b.Wake(now, timerWaiting)
 		out = h.take("send")
 		sends += len(out)
 	}
@@ -126,13 +126,13 @@
 			b.ConnectionEstablished(now, a.request)
 		}
 		b.Request(now, req(fmt.Sprint("s", i), uint64(i)*31))
-		b.Wake(now, timerHeld)
+		b.Wake(now, timerWaiting)
 		if out = h.take("send"); i >= 1900 {
 			served += len(out)
 		}
 	}
-	if served < 95 || len(b.held) != 0 {
-		t.Errorf("%d of the last 100 sent, %d held though set-ups stand again", served, len(b.held))
+	if served < 95 || len(b.waiting) != 0 {
+		t.Errorf("%d of the last 100 sent, %d held though set-ups stand again", served, len(b.waiting))
 	}
 }
 
@@ -162,7 +162,7 @@
 		t.Error("a crowded server got a new connection")
 	}
 	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 20)
-	if now := s.until; now > t0+2*time.Second || b.passOver(now, &request{}, s) != eligible {
+	if now := s.ejectedUntil; now > t0+2*time.Second || b.passOver(now, &request{}, s) != eligible {
 		t.Error("passed over though it is back under and the doubt has passed")
 	}
 }
@@ -183,7 +183,7 @@
 	s := crowd(t, b, h, 3, 8)
 	b.ConnectionMetric(t0, "c0", MetricDelay, 3000)
 	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 4000)
-	if s.until <= t0+time.Second {
+	if s.ejectedUntil <= t0+time.Second {
 		t.Error("a server that does nothing is not suspect")
 	}
 }
@@ -194,7 +194,7 @@
 	s := b.servers[send(t, b, h, t0, req("r", 3))]
 	b.ConnectionEstablished(t0, "r")
 	b.Outcome(t0+ms, "r", Reset, true)
-	if t0+ms < s.until {
+	if t0+ms < s.ejectedUntil {
 		t.Error("ejected for a reset")
 	}
 }
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -16,7 +16,7 @@
 			t.Errorf("carpHash(%q) = %d, want %d", text, got, want)
 		}
 	}
-	if got := spread(1); got != 0x2CCC4A63 {
+	if got := carpMix(1); got != 0x2CCC4A63 {
 		t.Errorf("spread(1) = %#x, want 0x2CCC4A63", got)
 	}
 }
@@ -105,10 +105,10 @@
 		servers[i].Weight = w
 	}
 	b, _ := newBalancer(t, servers)
-	b.relist()
+	b.updateMultipliers()
 	for _, s := range b.list {
-		if !(s.factor > 0) || math.IsInf(s.factor, 0) {
-			t.Errorf("%s has multiplier %v", s.ID, s.factor)
+		if !(s.multiplier > 0) || math.IsInf(s.multiplier, 0) {
+			t.Errorf("%s has multiplier %v", s.ID, s.multiplier)
 		}
 	}
 }
--- a/policy/refusal.go
+++ b/policy/refusal.go
@@ -5,56 +5,62 @@
 	"time"
 )
 
-// This file says when a request is given up, for which reason, and when its client may come back.
+// This file decides when a request is given up, for which reason, and when its client may come back.
 
-// over tells whether no further attempt may be made, and why.
-func (b *Balancer) over(now time.Duration, r *request, last time.Duration) (why Reason, over bool) {
+// noMoreAttempts reports whether the request may have no further attempt, and why.
+func (b *Balancer) noMoreAttempts(now time.Duration, r *request, last time.Duration) (why Reason, over bool) {
 	switch {
 	case now >= last:
 		return NoTimeLeft, true
-	case r.excess && !b.many():
+	case r.shed && !b.largeFleet():
 		return Overload, true
-	case r.attempts >= r.most:
+	case r.attempts >= r.maxAttempts:
 		return AttemptsUsed, true
-	case !r.repeats(now):
+	case !r.mayRepeat(now):
 		return NotRepeatable, true
 	}
 	return 0, false
 }
 
-// noServer is why a request that finds no server is given up.
-func noServer(r *request) Reason {
-	if r.excess {
+// noServerReason returns why a request that finds no eligible server is given up.
+func noServerReason(r *request) Reason {
+	if r.shed {
 		return Overload
 	}
 	return NoServer
 }
 
-func (b *Balancer) within(moment time.Duration, times []time.Duration) []time.Duration {
-	i, _ := slices.BinarySearch(times, moment-b.set.RetryBudgetSpan)
+// withinBudgetSpan returns those of the ascending times that lie in the span of the retry budget that ends at
+// moment.
+func (b *Balancer) withinBudgetSpan(moment time.Duration, times []time.Duration) []time.Duration {
+	i, _ := slices.BinarySearch(times, moment-b.settings.RetryBudgetSpan)
 	return times[i:]
 }
 
-// spentUntil tells when the budget has a further attempt, 0 while it has. Danger: retries multiply a failure.
-func (b *Balancer) spentUntil(now time.Duration) time.Duration {
-	b.again, b.taken = b.within(now, b.again), b.within(now+1, b.taken)
-	most := b.set.RetryBudgetBase + b.set.RetryBudgetRatio*float64(len(b.taken))
-	if b.set.RetryBudgetSpan <= 0 || float64(len(b.again)+1) <= most {
+// budgetSpentUntil returns when the retry budget next allows an attempt, or 0 if it allows one now. Without a
+// budget, retries would multiply the load of a failure.
+func (b *Balancer) budgetSpentUntil(now time.Duration) time.Duration {
+	b.retryTimes, b.requestTimes = b.withinBudgetSpan(now, b.retryTimes),
+		b.withinBudgetSpan(now+1, b.requestTimes)
+	allowed := b.settings.RetryBudgetBase + b.settings.RetryBudgetRatio*float64(len(b.requestTimes))
+	if b.settings.RetryBudgetSpan <= 0 || float64(len(b.retryTimes)+1) <= allowed {
 		return 0
 	}
-	return append(b.again, now)[0] + b.set.RetryBudgetSpan + 1
+	return append(b.retryTimes, now)[0] + b.settings.RetryBudgetSpan + 1
 }
 
-// giveUp answers at once, refused only where a repeat does no harm, to come back when the cause ends.
+// giveUp answers a request at once. It is refused, with a hint to retry when the cause ends, only if
+// repeating it does no harm; otherwise it fails.
 func (b *Balancer) giveUp(now time.Duration, r *request, ends time.Duration, why Reason) {
-	away := 2 * b.set.patience
+	retryAfter := 2 * b.settings.longestSetupTarget
 	if now < ends && ends < never {
-		away = ends - now
+		retryAfter = ends - now
 	}
-	if r.ranAt == nil || r.class.Effect == Safe || r.class.Effect == Keyed && r.class.DedupScope == ScopeAll {
-		b.host.Refuse(r.id, away+time.Duration(b.rng.Float64()*float64(away)), why)
+	if r.mayHaveRunOn == nil || r.class.Effect == Safe ||
+		r.class.Effect == Keyed && r.class.DedupScope == ScopeAll {
+		b.host.Refuse(r.id, retryAfter+time.Duration(b.rng.Float64()*float64(retryAfter)), why)
 	} else {
 		b.host.Fail(r.id)
 	}
-	delete(b.reqs, r.id)
+	delete(b.requests, r.id)
 }
--- a/policy/room_test.go
+++ b/policy/room_test.go
@@ -57,10 +57,10 @@
 func TestFurtherDownAServerNeedsMoreRoom(t *testing.T) {
 	b := asking(80, fleet(30))[0]
 	for rank, want := range map[int]bool{1: true, 2: true, 6: true, 8: false, 30: false} {
-		r := &request{rank: rank, curious: t0 + time.Second}
+		r := &request{rank: rank, probeUntil: t0 + time.Second}
 		s := b.list[0]
-		s.load, s.heardAt = 0.6, t0
-		assert.Equal(t, want, !b.full(t0, r, s), "rank %d at a load of 0.6", rank)
+		s.load, s.reportedAt = 0.6, t0
+		assert.Equal(t, want, !b.isFull(t0, r, s), "rank %d at a load of 0.6", rank)
 	}
 }
 
@@ -73,10 +73,10 @@
 			b.ProbeResult(t0, ranked[9], Report{Answered: true, Load: 1})
 		}
 		b.Request(t0, req("r", 7))
-		r := b.reqs["r"]
-		r.asks = 2 * r.most
+		r := b.requests["r"]
+		r.probes = 2 * r.maxAttempts
 		b.host.actions = nil
-		b.Wake(r.curious, timerHeld)
+		b.Wake(r.probeUntil, timerWaiting)
 		assert.Equal(t, !heard, len(b.host.take("send")) == 1, "one server heard of: %v", heard)
 	}
 }
@@ -88,7 +88,7 @@
 	hear(all, 7, func(int) float64 { return 0.2 })
 	for _, b := range all {
 		for _, s := range b.list[:29] {
-			s.heardAt = t0 - 4*time.Second
+			s.reportedAt = t0 - 4*time.Second
 		}
 		for _, s := range b.list[:4] {
 			b.eject(t0, s)
@@ -128,18 +128,18 @@
 	cold := b.servers[servers[0].ID]
 	ids(b.Balancer, 1) // sums up the sizes
 	chances := func(rank, timesSeen int) (yes int) {
-		b.seen = 100
+		b.totalKeyCount = 100
 		for i := range 2000 {
-			r := &request{hash: uint32(i + 1), rank: rank}
-			b.keys[r.hash] = timesSeen
+			r := &request{keyHash: uint32(i + 1), rank: rank}
+			b.keyCounts[r.keyHash] = timesSeen
 			if b.withinSlowStart(t0, r, cold) {
 				yes++
 			}
-			delete(b.keys, r.hash)
+			delete(b.keyCounts, r.keyHash)
 		}
 		return yes
 	}
-	b.rush.Add(t0, b.set.OverloadSpan)
+	b.requestRate.Add(t0, b.settings.OverloadSpan)
 	rare, popular := chances(3, 1), chances(3, 60)
 	assert.Zero(t, chances(9, 1), "beyond the ranks that count")
 	assert.Positive(t, rare)
--- a/policy/rules_test.go
+++ b/policy/rules_test.go
@@ -26,15 +26,15 @@
 			}
 		}
 		w.now += 5 * ms
-		w.b.Wake(w.now, timerHeld)
+		w.b.Wake(w.now, timerWaiting)
 	}
 	for _, s := range w.b.servers {
-		if len(s.conns) != 0 {
-			t.Fatalf("seed %d: %s still counts %d connections", seed, s.ID, len(s.conns))
+		if len(s.connections) != 0 {
+			t.Fatalf("seed %d: %s still counts %d connections", seed, s.ID, len(s.connections))
 		}
 	}
-	if len(w.b.reqs) != 0 {
-		t.Fatalf("seed %d: %d requests left", seed, len(w.b.reqs))
+	if len(w.b.requests) != 0 {
+		t.Fatalf("seed %d: %d requests left", seed, len(w.b.requests))
 	}
 	return w
 }
--- a/policy/siblings_test.go
+++ b/policy/siblings_test.go
@@ -55,7 +55,7 @@
 			for _, b := range all {
 				s := b.servers[servers[warm].ID]
 				b.withinSlowStart(now, &request{}, s)
-				sum += float64(s.slowStartLeft)
+				sum += float64(s.slowStartBudget)
 			}
 			if math.Abs(sum-want) > 4*math.Sqrt(want) {
 				t.Errorf("%d siblings, span %d: %v in all, budget %.1f", n, span, sum, want)
@@ -78,7 +78,7 @@
 		for run := range 10 {
 			all := siblings(n, 0, servers)
 			for i, b := range all {
-				b.set.QuotaConnections, b.rng = bears, rand.New(rand.NewPCG(uint64(run), uint64(i)))
+				b.settings.QuotaConnections, b.rng = bears, rand.New(rand.NewPCG(uint64(run), uint64(i)))
 			}
 			for i := range 2 * spans * c.rate { // those of the first half only tell the rate
 				now := t0 + time.Duration(i)*set.OverloadSpan/time.Duration(c.rate)
@@ -145,7 +145,7 @@
 	told := 0
 	for i := range rounds {
 		for _, b := range all {
-			b.set.SiblingMessaging = i > 0
+			b.settings.SiblingMessaging = i > 0
 			b.host.actions = nil
 			s := b.list[7]
 			s.delayAt = 0
--- a/policy/slowstart.go
+++ b/policy/slowstart.go
@@ -3,82 +3,94 @@
 import "time"
 
 const (
-	headroom       = 2    // times a server's usual load is what it bears, as half may be lost
-	mostLoad       = 0.75 // of capacity: near the full
-	rankStep       = 0.03 // of capacity, for each further rank
-	slowStartRanks = 8.0  // of a key's ranks, those in which a server in slow start counts
-	slowStartShare = 0.75 // of our part over what comes, as what comes varies
+	// headroom is the capacity of a server over its typical load, as half of the fleet may be lost.
+	headroom = 2
+	// maxLoad is the load, as a fraction of capacity, from which a server counts as nearly full.
+	maxLoad = 0.75
+	// maxLoadStep lowers maxLoad for each further rank of the server, as a fraction of capacity.
+	maxLoadStep = 0.03
+	// slowStartRanks is how many top ranks of a key may be filled by a server in slow start.
+	slowStartRanks = 8.0
+	// slowStartMargin reduces the probability to use a cold server, as the request rate varies.
+	slowStartMargin = 0.75
 )
 
-// capacityShare is the least share of its capacity that a server has.
+// capacityShare returns the minimum share of its capacity that a server has at its age.
 func (b *Balancer) capacityShare(now time.Duration, s *server) float64 {
 	age := max(now-s.Started, 0)
-	if s.Started <= 0 || age >= b.set.WarmAfter {
+	if s.Started <= 0 || age >= b.settings.WarmAfter {
 		return 1
 	}
-	return b.set.ColdCapacityShare + (1-b.set.ColdCapacityShare)*float64(age)/float64(b.set.WarmAfter)
+	return b.settings.ColdCapacityShare +
+		(1-b.settings.ColdCapacityShare)*float64(age)/float64(b.settings.WarmAfter)
 }
 
-// withinSlowStart tells whether a server that may be in slow start can be sent one more.
+// withinSlowStart reports whether a server that may be in slow start can be sent one more request.
 func (b *Balancer) withinSlowStart(now time.Duration, r *request, s *server) bool {
-	warm := b.capacityShare(now, s)
-	if warm >= 1 {
+	capacity := b.capacityShare(now, s)
+	if capacity >= 1 {
 		return true
 	}
-	// what it may be sent in a span of Fall, as a share of what it bears
-	share := b.set.OverloadFactor * warm * float64(b.set.OverloadSpan) / float64(b.set.WarmAfter)
-	if b.many() {
-		return b.withinPartOfMany(now, r, s, share)
+	// what it may be sent within an OverloadSpan, as a share of what it bears when warm
+	share := b.settings.OverloadFactor * capacity *
+		float64(b.settings.OverloadSpan) / float64(b.settings.WarmAfter)
+	if b.largeFleet() {
+		return b.withinExpectedShare(now, r, s, share)
 	}
-	return b.withinDrawnPart(now, r, s, warm, share)
+	return b.withinDrawnBudget(now, r, s, capacity, share)
 }
 
-// withinPartOfMany: each of many balancers has the chance of its part over what comes to it.
-func (b *Balancer) withinPartOfMany(now time.Duration, r *request, s *server, share float64) bool {
-	// what the server bears when all is well, our part of it
-	bears := max(b.set.QuotaConnections/b.size/float64(b.set.Siblings), b.usual(now)) * s.Weight
-	// of what comes here, the part that may go there
-	reach := max(b.share(r), min(slowStartRanks/float64(len(b.list)), 1))
-	comes := max(b.rush.Rate(now, b.set.OverloadSpan), 2*bears*float64(r.returns)) * reach
-	return r.rank <= slowStartRanks && r.chance(b, s)*comes < slowStartShare*bears*share
+// withinExpectedShare decides in a large fleet: the probability to use the server is this balancer's part of
+// what the server may be sent, divided by the requests that arrive here and may go there.
+func (b *Balancer) withinExpectedShare(now time.Duration, r *request, s *server, share float64) bool {
+	// this balancer's part of the connections that the server bears when warm
+	bears := max(b.settings.QuotaConnections/b.totalWeight/float64(b.settings.Siblings),
+		b.typicalConnections(now)) * s.Weight
+	// the share of the requests arriving here that may go to the server
+	reach := max(b.keyShare(r), min(slowStartRanks/float64(len(b.list)), 1))
+	arriving := max(b.requestRate.Rate(now, b.settings.OverloadSpan), 2*bears*float64(r.reconnects)) * reach
+	return r.rank <= slowStartRanks && r.draw(b, s)*arriving < slowStartMargin*bears*share
 }
 
-// withinDrawnPart: once a Fall a balancer of few draws its part by what it holds; beyond it a key that is new
-// to it has a chance.
-func (b *Balancer) withinDrawnPart(now time.Duration, r *request, s *server, warm, share float64) bool {
-	part := headroom * b.usual(now) * s.Weight * share
-	if now-s.slowStartAt >= b.set.OverloadSpan {
-		s.slowStartLeft = int(part + b.rng.Float64())
-		s.slowStartLuck = b.rng.Float64()
+// withinDrawnBudget decides in a small fleet: once per OverloadSpan the balancer draws its budget for the
+// server from the connections that it typically holds. Beyond the budget, a key that is new to the balancer
+// may be sent there with some probability.
+func (b *Balancer) withinDrawnBudget(now time.Duration, r *request, s *server, capacity, share float64) bool {
+	budget := headroom * b.typicalConnections(now) * s.Weight * share
+	if now-s.slowStartAt >= b.settings.OverloadSpan {
+		s.slowStartBudget = int(budget + b.rng.Float64())
+		s.slowStartDraw = b.rng.Float64()
 		s.slowStartAt = now
 	}
-	if s.slowStartLeft > 0 {
+	if s.slowStartBudget > 0 {
 		return true
 	}
-	chance := warm / 2
-	if r.returns > 0 {
-		chance /= 2
+	probability := capacity / 2
+	if r.reconnects > 0 {
+		probability /= 2
 	}
-	newKey := b.keys[r.hash] <= 1 && r.attempts == 0
-	return newKey && s.slowStartLuck < chance && now-b.roomAt >= b.set.OverloadSpan
+	newKey := b.keyCounts[r.keyHash] <= 1 && r.attempts == 0
+	return newKey && s.slowStartDraw < probability && now-b.beyondBudgetAt >= b.settings.OverloadSpan
 }
 
-// TakeOver takes over from another process of this balancer, which may just have spent the cold budgets.
+// TakeOver is called when this instance takes over from another process of the same balancer, which may just
+// have spent the slow start budgets of cold servers; they count as spent.
 func (b *Balancer) TakeOver(now time.Duration) {
-	b.roomAt = now
+	b.beyondBudgetAt = now
 	for _, s := range b.list {
-		s.slowStartLeft, s.slowStartAt = 0, now
+		s.slowStartBudget, s.slowStartAt = 0, now
 	}
 }
 
-// usual is how many of our connections a server of size 1 bears when warm; at least our part of one.
-func (b *Balancer) usual(now time.Duration) float64 {
-	if now-b.usualAt >= b.set.OverloadSpan {
-		open, size := 0.0, 0.0
+// typicalConnections returns how many connections of this balancer a warm server of size 1 holds on average,
+// but at least its part of a single one.
+func (b *Balancer) typicalConnections(now time.Duration) float64 {
+	if now-b.typicalAt >= b.settings.OverloadSpan {
+		open, weight := 0.0, 0.0
 		for _, s := range b.list {
-			open, size = open+float64(s.standing), size+s.Weight*b.capacityShare(now, s)
+			open, weight = open+float64(s.established), weight+s.Weight*b.capacityShare(now, s)
 		}
-		b.usualAt, b.usualOpen = now, max(open/size, 1/float64(b.set.Siblings))
+		b.typicalAt, b.typicalOpen = now, max(open/weight, 1/float64(b.settings.Siblings))
 	}
-	return b.usualOpen
+	return b.typicalOpen
 }
--- a/policy/slowstart_test.go
+++ b/policy/slowstart_test.go
@@ -37,7 +37,7 @@
 	if got := len(h.take("send")); got > 3 {
 		t.Errorf("%d sends to three servers that just started", got)
 	}
-	b.Wake(t0+1995*ms, timerHeld)
+	b.Wake(t0+1995*ms, timerWaiting)
 	if got := len(h.take("refuse")); got < 40 {
 		t.Errorf("only %d of the held requests were answered", got)
 	}
@@ -48,14 +48,14 @@
 	servers := fleet(1)
 	servers[0].Started = t0
 	b, h := newBalancer(t, servers)
-	now := t0 + b.set.WarmAfter/2
+	now := t0 + b.settings.WarmAfter/2
 	b.TakeOver(now)
 	h.actions = nil
 	b.Request(now+ms, req("early", 1))
 	if sent := h.take("send"); len(sent) > 0 {
 		t.Errorf("sent %v", sent)
 	}
-	if at := send(t, b, h, now+b.set.OverloadSpan+ms, req("later", 2)); at != servers[0].ID {
+	if at := send(t, b, h, now+b.settings.OverloadSpan+ms, req("later", 2)); at != servers[0].ID {
 		t.Errorf("sent to %q", at)
 	}
 }
--- a/policy/walk.go
+++ b/policy/walk.go
@@ -8,123 +8,131 @@
 	"tealtiller/internal/scale"
 )
 
-const never, doublings = time.Duration(math.MaxInt64), 3 // of times; of an ejection
-
+// The reasons to pass over a server. From unlisted on they are guesses, which a request may ignore.
 const (
-	eligible  = iota
-	draining  // danger: new work on a server that must empty would break a rule
-	tried     // danger: the same answer again; the draft's next-best member (3.5), for refusals too
-	foreign   // danger: a keyed request's effect twice, where its duplicates are not known
-	crowded   // danger: what is late already, or was refused for most that fail, makes it later
-	warmingUp // danger: a fresh server sent more than it can do falls over and stays down
-	unlisted  // danger: the list may be right in calling it gone; from here on guesses
-	ejected   // danger: one that never answers looks empty, and a few heavy connections fill one unseen
-	akin      // danger: what fails together, by its link or make, costs a try on each
+	eligible        = iota
+	draining        // new requests on a draining server would violate the drain rule
+	tried           // it would give the same answer again; CARP (3.5) goes on to the next-best member
+	otherDedupScope // it would not recognise a duplicate, so a keyed request could take effect twice
+	crowded         // a request would delay it further, or is shed because most servers fail
+	warmingUp       // a cold server that is sent more than it can do fails and stays down
+	unlisted        // the list calls it gone, and may be right
+	ejected         // a silent server looks empty, and a few heavy connections can fill one unnoticed
+	domainFailing   // its zone or kind fails as a whole, and trying each of its servers would cost an attempt
 )
 
+// passOver returns the reason not to send a request to a server, or eligible.
 func (b *Balancer) passOver(now time.Duration, r *request, s *server) (reason int) {
 	switch {
 	case b.leaving(s) && !b.inGrace(now, r, s):
 		return draining
 	case slices.Contains(r.tried, s):
 		return tried
-	case r.ranAt != nil && r.class.Effect == Keyed && !s.shares(r.class.DedupScope, r.ranAt.Server):
-		return foreign
-	case r.excess && b.capacityShare(now, s) >= 1, b.many() && !r.keeps() && b.full(now, r, s):
+	case r.mayHaveRunOn != nil && r.class.Effect == Keyed &&
+		!s.sharesDuplicates(r.class.DedupScope, r.mayHaveRunOn.Server):
+		return otherDedupScope
+	case r.shed && b.capacityShare(now, s) >= 1,
+		b.largeFleet() && !r.staysWithHolder() && b.isFull(now, r, s):
 		return crowded
 	case !b.withinSlowStart(now, r, s):
 		return warmingUp
-	case r.keeps(): // guesses aside
+	case r.staysWithHolder(): // the guesses below do not apply
 		return eligible
 	case s.State == Gone && !b.listSuspect:
 		return unlisted
-	case b.fails(now, s):
+	case b.isFailing(now, s):
 		return ejected
-	case b.alike(s):
-		return akin
+	case b.domainFails(s):
+		return domainFailing
 	}
 	return eligible
 }
 
-// leaving tells whether a server drains or is gone. Where only draining binds, one that the list merely
-// calls gone may run.
+// leaving reports whether a server drains or is gone. Where gone servers are usable, one that the list merely
+// calls gone may be running.
 func (b *Balancer) leaving(s *server) bool {
 	if s.State == Gone {
-		return s.bound || !b.set.GoneServersUsable
+		return s.seenDraining || !b.settings.GoneServersUsable
 	}
 	return s.State == Draining
 }
 
-// inGrace tells whether a draining server may still be sent what arrives mid-flow, as it may well hold the
-// connection.
+// inGrace reports whether a draining server may still be sent a mid-flow arrival, which it may well hold.
 func (b *Balancer) inGrace(now time.Duration, r *request, s *server) bool {
-	return r.midFlow && s.State == Draining && now < s.told+b.set.DrainGrace-longestHold
+	return r.midFlow && s.State == Draining && now < s.drainNotifiedAt+b.settings.DrainGrace-maxProcessPause
 }
 
-// longestHold is how long a process may be held up between reading its clock and writing.
-const longestHold = 150 * time.Millisecond
+// maxProcessPause is how long a process may be paused between reading its clock and writing.
+const maxProcessPause = 150 * time.Millisecond
 
-// full: of many, by its report a server has no room for a key's next one, the less the further down it ranks,
-// as each that holds any of a group pays for it. Danger: where others are heard, an unasked one fills unseen.
-func (b *Balancer) full(now time.Duration, r *request, s *server) bool {
-	if now-s.heardAt >= 3*noteEvery && now-b.heardAt < 3*noteEvery && !b.mayAsk(now, r) {
+// isFull reports whether, in a large fleet, a server has no capacity left by its last report. The limit falls
+// with the rank, as each server that holds any connection of a group pays a cost for it. A server without a
+// fresh report that may not be probed counts as full while others have one, as it could fill up unnoticed.
+func (b *Balancer) isFull(now time.Duration, r *request, s *server) bool {
+	if now-s.reportedAt >= 3*metricInterval && now-b.reportedAt < 3*metricInterval && !b.mayProbe(now, r) {
 		return true
 	}
-	crowded := now-s.heardAt < 3*noteEvery && s.load > mostLoad-rankStep*float64(max(r.rank-2, 0))
-	return crowded || b.slow(now, s) && s.delay >= b.set.messageAim/2
+	loaded := now-s.reportedAt < 3*metricInterval && s.load > maxLoad-maxLoadStep*float64(max(r.rank-2, 0))
+	return loaded || b.isSlow(now, s) && s.delay >= b.settings.shortestMessageTarget/2
 }
 
-func (r *request) chance(b *Balancer, s *server) float64 { // drawn once for a request and a server
-	if r.luck == 0 {
-		r.luck = b.rng.Float64()
+// draw returns a random number from 0 to 1 that is fixed for a request and a server.
+func (r *request) draw(b *Balancer, s *server) float64 {
+	if r.slowStartDraw == 0 {
+		r.slowStartDraw = b.rng.Float64()
 	}
-	return math.Mod(r.luck+float64(s.hash)/(1<<32), 1)
+	return math.Mod(r.slowStartDraw+float64(s.hash)/(1<<32), 1)
 }
 
-func (r *request) keeps() bool { return r.midFlow && r.attempts == 0 && !r.guess } // not reset yet
+// staysWithHolder reports whether a mid-flow request should go to the server that holds its connection.
+func (r *request) staysWithHolder() bool { return r.midFlow && r.attempts == 0 && !r.holderUnknown }
 
-func (s Server) shares(scope Scope, other Server) bool { // whether they discard each other's duplicates
+// sharesDuplicates reports whether two servers discard each other's duplicates.
+func (s Server) sharesDuplicates(scope Scope, other Server) bool {
 	return scope == ScopeAll || scope == ScopeZone && s.Zone == other.Zone ||
 		scope == ScopeCell && s.Cell == other.Cell
 }
 
-// walk goes down the ranking to the less occupied of the first two eligible; else it tells when that may end.
+// walk goes down the ranking and returns the less occupied of the first two eligible servers. If there is
+// none, it returns when one may become eligible.
 func (b *Balancer) walk(now time.Duration, r *request, overload float64) (top *server, ends time.Duration) {
-	guessesYield := overload > 0 || now >= r.patient
-	skip, best, most, ranked := b.popular(r), 0, 0, 0
-	b.pair, r.rank = [2]*server{}, 0
-	r.guess = r.midFlow && b.informed() && !slices.ContainsFunc(b.list, func(s *server) bool {
-		ours, _ := b.holds(now, s, r.hash)
-		return ours > 0
+	ignoreGuesses := overload > 0 || now >= r.holdUntil
+	skip, bestScore, bestArrivals, ranked := b.popularitySkip(r), 0, 0, 0
+	b.candidates, r.rank = [2]*server{}, 0
+	r.holderUnknown = r.midFlow && b.usesReports() && !slices.ContainsFunc(b.list, func(s *server) bool {
+		score, _ := b.holderScore(now, s, r.keyHash)
+		return score > 0
 	})
-	if ends = never; len(b.list) == 0 && b.asking && now < r.patient {
-		ends = now + b.set.patience/4
+	if ends = never; len(b.list) == 0 && b.watchPending && now < r.holdUntil {
+		ends = now + b.settings.longestSetupTarget/4
 	}
-	for s := range b.rank(r.hash) {
+	for s := range b.rank(r.keyHash) {
 		skip--
 		r.rank++
-		switch why := b.passOver(now, r, s); {
-		case why == warmingUp && !b.many(): // whose one chance is drawn once
-			ends = min(ends, s.slowStartAt+b.set.OverloadSpan)
-		case why == crowded && b.set.Probes && now < r.patient, why > warmingUp && !guessesYield:
-			ends = min(ends, r.patient)
-		case eligible < why && why <= warmingUp:
-		case r.keeps(): // any but its holder resets it
-			h, came := b.holds(now, s, r.hash)
+		switch reason := b.passOver(now, r, s); {
+		case reason == warmingUp && !b.largeFleet(): // in a large fleet the draw of a request does not change
+			ends = min(ends, s.slowStartAt+b.settings.OverloadSpan)
+		case reason == crowded && b.settings.Probes && now < r.holdUntil,
+			reason > warmingUp && !ignoreGuesses:
+			ends = min(ends, r.holdUntil)
+		case eligible < reason && reason <= warmingUp:
+		case r.staysWithHolder(): // any server but its holder resets the connection
+			score, arrivals := b.holderScore(now, s, r.keyHash)
 			ranked++
-			fewer := ranked == 2 && came < most
-			if h > 0 && top != nil {
-				fewer = b.felt(s) < b.felt(top)
+			better := ranked == 2 && arrivals < bestArrivals
+			if score > 0 && top != nil {
+				better = b.occupancy(s) < b.occupancy(top)
 			}
-			if top == nil || h > best || h == best && fewer {
-				top, best, most = s, h, came
+			if top == nil || score > bestScore || score == bestScore && better {
+				top, bestScore, bestArrivals = s, score, arrivals
 			}
-		case skip >= 0 && !b.informed(): // popular
+		case skip >= 0 && !b.usesReports(): // a popular key skips top ranks
 		case top == nil:
-			top, b.pair[0] = s, s
+			top, b.candidates[0] = s, s
 		default:
-			b.pair[1] = s
-			if d := b.felt(s) - b.felt(top); d < 0 || d == 0 && b.many() && b.rng.IntN(2) == 0 {
+			b.candidates[1] = s
+			if d := b.occupancy(s) - b.occupancy(top); d < 0 ||
+				d == 0 && b.largeFleet() && b.rng.IntN(2) == 0 {
 				top = s
 			}
 			return top, 0
@@ -133,96 +141,109 @@
 	return top, ends
 }
 
-// many: more balancers than servers. Own counts tell nothing, top servers tie, all fill the first: drawn.
-func (b *Balancer) many() bool { return scale.IsLargeFleet(b.set.Siblings, len(b.list)) }
+// largeFleet reports whether there are so many balancers that the counts of one say little about a server.
+// Top servers then often tie; a tie is broken at random, as all balancers would otherwise fill the first.
+func (b *Balancer) largeFleet() bool { return scale.IsLargeFleet(b.settings.Siblings, len(b.list)) }
 
-func (b *Balancer) informed() bool { return b.many() && b.set.Probes } // by the reports that it asks for
+// usesReports reports whether placement relies on the reports that servers give when probed.
+func (b *Balancer) usesReports() bool { return b.largeFleet() && b.settings.Probes }
 
-func (b *Balancer) mayAsk(now time.Duration, r *request) bool {
-	return now < r.curious && r.asks < 2*r.most
+// mayProbe reports whether a request may still send probes and wait for their reports.
+func (b *Balancer) mayProbe(now time.Duration, r *request) bool {
+	return now < r.probeUntil && r.probes < 2*r.maxAttempts
 }
 
-// unheard asks those that a request may go to for reports, and tells whether to wait.
-func (b *Balancer) unheard(now time.Duration, r *request) (waits bool) {
-	for _, s := range b.pair {
-		known := s == nil || !b.informed() || now >= r.curious || now-s.heardAt <= noteEvery
-		if !known && now-s.askedAt > b.set.patience && b.mayAsk(now, r) {
-			r.asks, s.askedAt = r.asks+1, now
+// awaitReports probes those candidates that lack a fresh report, and reports whether to wait for them.
+func (b *Balancer) awaitReports(now time.Duration, r *request) (wait bool) {
+	for _, s := range b.candidates {
+		known := s == nil || !b.usesReports() || now >= r.probeUntil || now-s.reportedAt <= metricInterval
+		if !known && now-s.probedAt > b.settings.longestSetupTarget && b.mayProbe(now, r) {
+			r.probes, s.probedAt = r.probes+1, now
 			b.host.Probe(s.ID)
 		}
-		waits = waits || !known && now-s.askedAt <= b.set.patience
+		wait = wait || !known && now-s.probedAt <= b.settings.longestSetupTarget
 	}
-	return waits
+	return wait
 }
 
-// ProbeResult takes what a server answered when asked.
+// ProbeResult receives the answer of a server to a probe, or that there was none.
 func (b *Balancer) ProbeResult(now time.Duration, server string, report Report) {
 	s := b.server(server)
 	if report.Answered {
-		b.heardAt, s.heardAt = now, now
-		if s.load = report.Load; !b.slow(now, s) {
+		b.reportedAt, s.reportedAt = now, now
+		if s.load = report.Load; !b.isSlow(now, s) {
 			s.delay, s.delayAt = report.Delay, now
 		}
-	} else if now-s.askedAt <= b.set.patience {
+	} else if now-s.probedAt <= b.settings.longestSetupTarget {
 		b.eject(now, s)
 	}
-	b.Wake(now, timerHeld)
+	b.Wake(now, timerWaiting)
 }
 
-// holds tells how likely a server holds what arrives mid-flow, and how many of its key came here so: most are
-// where ours are, hardly at one slow or started since. Danger: dozens of a key fill one: who came counts off.
-func (b *Balancer) holds(now time.Duration, s *server, key uint32) (ours, came int) {
-	if s.Started > 0 && now-s.Started < lasting {
+// holderScore rates how likely a server holds a mid-flow arrival of a key, and returns how many mid-flow
+// arrivals of the key it has got from here. Most connections of a key are where this balancer's own ones are,
+// and hardly any at a slow or young server. Arrivals are subtracted from the score, as dozens of one key
+// would fill a single server.
+func (b *Balancer) holderScore(now time.Duration, s *server, key uint32) (score, arrivals int) {
+	if s.Started > 0 && now-s.Started < connectionLifetime {
 		return -2, 0
 	}
-	for _, c := range s.conns {
+	for _, c := range s.connections {
 		switch {
-		case c.hash != key:
+		case c.keyHash != key:
 		case c.midFlow:
-			came++
-		case c.began:
-			ours++
+			arrivals++
+		case c.established:
+			score++
 		}
 	}
-	if ours == 0 && b.slow(now, s) {
-		return -1, came
+	if score == 0 && b.isSlow(now, s) {
+		return -1, arrivals
 	}
-	return min(ours, 1+max(ours-came, 0)), came
+	return min(score, 1+max(score-arrivals, 0)), arrivals
 }
 
-// popular draws how many top ranks to pass over. Danger: a key of many clients fills its two unseen.
-func (b *Balancer) popular(r *request) int {
-	return b.rng.IntN(max(int(math.Ceil(b.share(r)*float64(len(b.list))/2))-1, 1))
+// popularitySkip draws how many top ranks to skip, as a popular key would fill its two top servers unnoticed.
+func (b *Balancer) popularitySkip(r *request) int {
+	return b.rng.IntN(max(int(math.Ceil(b.keyShare(r)*float64(len(b.list))/2))-1, 1))
 }
 
-func (b *Balancer) share(r *request) float64 { // of a key in all requests; a return counts twice
-	seen := popularShare*popularWeight + float64(max(b.keys[r.hash]-1, 0)+r.returns)
-	return seen / (popularWeight + float64(max(b.seen-1, 0)))
+// keyShare estimates the share of the request's key in all requests. A reconnecting client counts twice.
+func (b *Balancer) keyShare(r *request) float64 {
+	seen := priorShare*priorWeight + float64(max(b.keyCounts[r.keyHash]-1, 0)+r.reconnects)
+	return seen / (priorWeight + float64(max(b.totalKeyCount-1, 0)))
 }
 
-// see counts a request for a key. Beyond eight a server all counts are halved, as what is asked for changes.
-func (b *Balancer) see(key uint32) {
-	b.keys[key]++
-	if b.seen++; b.seen <= 8*max(len(b.list), popularWeight) {
+// countKey counts a request for a key. When the counts sum to more than eight per server all are halved, as
+// the popularity of keys changes.
+func (b *Balancer) countKey(key uint32) {
+	b.keyCounts[key]++
+	if b.totalKeyCount++; b.totalKeyCount <= 8*max(len(b.list), priorWeight) {
 		return
 	}
-	b.seen /= 2 // those of rare keys too, though their own counts go
-	for k, n := range b.keys {
-		if b.keys[k] = n / 2; n < 2 {
-			delete(b.keys, k)
+	b.totalKeyCount /= 2 // includes rare keys, though their own counts are dropped
+	for k, n := range b.keyCounts {
+		if b.keyCounts[k] = n / 2; n < 2 {
+			delete(b.keyCounts, k)
 		}
 	}
 }
 
-const popularShare, popularWeight = 0.05, 4 // an unseen key counts as one of twenty, on four's evidence
+const (
+	// priorShare is the estimated share of a key that has not been seen.
+	priorShare = 0.05
+	// priorWeight is how many requests the prior estimate counts as.
+	priorWeight = 4
+)
 
-// felt is how occupied a server is: by our connections over size; of many by report, zone and price of it.
-func (b *Balancer) felt(s *server) (load float64) {
-	if !b.many() {
-		return float64(len(s.conns)+1) / s.Weight
+// occupancy returns how occupied a server is: the connections of this balancer per weight, or, in a large
+// fleet, the reported load plus a penalty for another zone.
+func (b *Balancer) occupancy(s *server) (load float64) {
+	if !b.largeFleet() {
+		return float64(len(s.connections)+1) / s.Weight
 	}
-	if load = s.load; s.Zone != b.set.Zone {
-		load += 2 * b.set.CrossZoneCost
+	if load = s.load; s.Zone != b.settings.Zone {
+		load += 2 * b.settings.CrossZoneCost
 	}
 	return load
 }
--- a/policy/walk_test.go
+++ b/policy/walk_test.go
@@ -111,11 +111,11 @@
 	for i := range 3000 {
 		b.Request(t0, req(fmt.Sprint("x", i), uint64(10000+i)))
 	}
-	if n := b.keys[carpHash("1")]; n > 2 {
+	if n := b.keyCounts[carpHash("1")]; n > 2 {
 		t.Errorf("a key of old still counts %d", n)
 	}
-	if len(b.keys) > 8*40+1 {
-		t.Errorf("remembers %d keys", len(b.keys))
+	if len(b.keyCounts) > 8*40+1 {
+		t.Errorf("remembers %d keys", len(b.keyCounts))
 	}
 }
 
@@ -127,7 +127,7 @@
 	if got := h.take("send"); len(got) != 0 {
 		t.Fatalf("sent to a crowded server at once: %v", got)
 	}
-	b.Wake(t0+1001*ms, timerHeld)
+	b.Wake(t0+1001*ms, timerWaiting)
 	if got := h.take("send"); len(got) != 1 {
 		t.Errorf("a guess lost the request: %v", got)
 	}
--- a/policy/world_test.go
+++ b/policy/world_test.go
@@ -96,7 +96,7 @@
 		switch {
 		case c.class.Effect == Unsafe:
 			w.fail("unsafe request %s sent again", r)
-		case c.class.Effect == Keyed && (!e.shares(c.class.DedupScope, w.state[c.ran]) || w.now-c.ranSince > c.class.DedupWindow):
+		case c.class.Effect == Keyed && (!e.sharesDuplicates(c.class.DedupScope, w.state[c.ran]) || w.now-c.ranSince > c.class.DedupWindow):
 			w.fail("keyed request %s sent where its duplicates are not known", r)
 		}
 	}
