--- a/policy/akin_test.go
+++ b/policy/akin_test.go
@@ -6,9 +6,9 @@
 	"time"
 )
 
-// zoned makes four servers in each of four zones, of two kinds in turn, and a balancer in zone z0 with a
-// connection on the first two of each zone.
-func zoned(t *testing.T) (*Balancer, *fakeHost, []Server) {
+// newZonedBalancer returns a balancer in zone z0 and four servers in each of four zones, of two alternating kinds. The
+// balancer has a connection on the first two servers of each zone.
+func newZonedBalancer(t *testing.T) (*Balancer, *fakeHost, []Server) {
 	t.Helper()
 	servers := fleet(16)
 	for i := range servers {
@@ -18,14 +18,14 @@
 	b.settings.Zone = "z0"
 	for i, s := range servers {
 		if i%4 < 2 {
-			b.Inherit(t0, req(fmt.Sprint("open", i), uint64(i)), s.ID)
+			b.Inherit(t0, newRequest(fmt.Sprint("open", i), uint64(i)), s.ID)
 		}
 	}
 	return b, h, servers
 }
 
-// whys tells why each server is passed over.
-func whys(b *Balancer, now time.Duration, servers []Server) (out []int) {
+// passOverReasons returns the reason to pass over each server.
+func passOverReasons(b *Balancer, now time.Duration, servers []Server) (out []int) {
 	b.surveyHealth(now)
 	for _, s := range servers {
 		out = append(out, b.passOver(now, &request{}, b.servers[s.ID]))
@@ -33,15 +33,16 @@
 	return out
 }
 
-// Two servers behind a slow link fail and nothing there serves: the two that were never tried are passed over
-// too, at once and for as long as the doubt of the first is remembered; other zones are not.
-func TestServersBehindOneLinkAreBlamedTogether(t *testing.T) {
-	b, _, servers := zoned(t)
+// Two servers behind a slow link fail and no server of their zone serves a connection. The two servers of the zone that
+// were never tried are passed over at once too, until the ejections of the first two have faded. Other zones are not
+// affected.
+func TestServersOfAFailingZoneArePassedOver(t *testing.T) {
+	b, _, servers := newZonedBalancer(t)
 	for _, s := range servers[4:6] {
 		b.SiblingDelay(t0, b.servers[s.ID].hash, 300*ms)
 		b.eject(t0, b.servers[s.ID])
 	}
-	for i, why := range whys(b, t0, servers) {
+	for i, reason := range passOverReasons(b, t0, servers) {
 		want := eligible
 		switch i {
 		case 4, 5:
@@ -49,64 +50,66 @@
 		case 6, 7:
 			want = domainFailing
 		}
-		if why != want {
-			t.Errorf("server %d in zone %s: int %d, want %d", i, servers[i].Zone, why, want)
+		if reason != want {
+			t.Errorf("server %d in zone %s: reason %d, want %d", i, servers[i].Zone, reason, want)
 		}
 	}
-	if why := whys(b, t0+time.Minute, servers); why[6] != eligible {
-		t.Error("blamed for ever")
+	if reasons := passOverReasons(b, t0+time.Minute, servers); reasons[6] != eligible {
+		t.Error("the zone is passed over for ever")
 	}
-	b.Inherit(t0, req("proof", 99), servers[7].ID)
-	if why := whys(b, t0, servers); why[6] != eligible {
-		t.Error("blamed though one of its zone serves us")
+	b.Inherit(t0, newRequest("proof", 99), servers[7].ID)
+	if reasons := passOverReasons(b, t0, servers); reasons[6] != eligible {
+		t.Error("passed over though a server of the zone has a connection of ours")
 	}
 }
 
-// Behind the bad end of the link all other zones fail and our own is well.
-func TestOwnZoneIsKeptWhenAllOthersFail(t *testing.T) {
-	b, _, servers := zoned(t)
+// At the failing end of a link all other zones fail while the balancer's own zone is healthy.
+func TestOwnZoneIsUsedWhenAllOthersFail(t *testing.T) {
+	b, _, servers := newZonedBalancer(t)
 	for i, s := range servers[4:] {
 		if i%4 < 2 {
 			b.eject(t0, b.servers[s.ID])
 		}
 	}
-	for i, why := range whys(b, t0, servers) {
-		if (i < 4) != (why == eligible) {
-			t.Errorf("server %d in zone %s: int %d", i, servers[i].Zone, why)
+	for i, reason := range passOverReasons(b, t0, servers) {
+		if (i < 4) != (reason == eligible) {
+			t.Errorf("server %d in zone %s: reason %d", i, servers[i].Zone, reason)
 		}
 	}
 }
 
-// Servers of one kind fail by turns: those of it that were not tried are passed over, those of the other are not.
-func TestServersOfOneKindAreBlamedTogether(t *testing.T) {
-	b, _, servers := zoned(t)
+// Servers of one kind fail one after the other. The servers of that kind that were not tried are passed over, those of
+// the other kind are not.
+func TestServersOfAFailingKindArePassedOver(t *testing.T) {
+	b, _, servers := newZonedBalancer(t)
 	b.eject(t0, b.servers[servers[2].ID])
 	b.eject(t0, b.servers[servers[14].ID])
-	for i, why := range whys(b, t0, servers) {
-		if kind := servers[i].Kind; (kind == "k0") != (why == eligible) {
-			t.Errorf("server %d of %s: int %d", i, kind, why)
+	for i, reason := range passOverReasons(b, t0, servers) {
+		if kind := servers[i].Kind; (kind == "k0") != (reason == eligible) {
+			t.Errorf("server %d of %s: reason %d", i, kind, reason)
 		}
 	}
 }
 
-// In a fleet that fails as a whole nothing is blamed on a zone: load must not herd onto what is left.
-func TestFailuresEverywhereBlameNoZone(t *testing.T) {
-	b, _, servers := zoned(t)
+// When the whole fleet fails, no zone is passed over for its failures, as the load would concentrate on the few servers
+// left.
+func TestNoZoneIsPassedOverWhenTheWholeFleetFails(t *testing.T) {
+	b, _, servers := newZonedBalancer(t)
 	for i, s := range servers {
 		if i%4 < 2 && i != 13 && i != 9 {
 			b.eject(t0, b.servers[s.ID])
 		}
 	}
-	for i, why := range whys(b, t0, servers) {
-		if why == domainFailing {
-			t.Errorf("server %d in zone %s is blamed for its like", i, servers[i].Zone)
+	for i, reason := range passOverReasons(b, t0, servers) {
+		if reason == domainFailing {
+			t.Errorf("server %d in zone %s is passed over for the failures of its zone or kind", i, servers[i].Zone)
 		}
 	}
 }
 
-// Hundreds of balancers with a few connections each, one zone behind a slow link: once each knows of two there,
-// the siblings together hardly send there any more, and spread the rest over all others.
-func TestSiblingsLeaveASlowZoneWithoutHerding(t *testing.T) {
+// Hundreds of balancers have a few connections each, and one zone is behind a slow link. Once each balancer knows of
+// two slow servers there, all together hardly use the zone any more, and the load spreads evenly over all other zones.
+func TestSiblingsLeaveASlowZoneWithoutOverloadingOthers(t *testing.T) {
 	const n = 200
 	servers := fleet(40)
 	for i := range servers {
@@ -114,7 +117,7 @@
 	}
 	sent := map[string]int{}
 	total := 0
-	for _, b := range siblings(n, 6*n, servers) {
+	for _, b := range newSiblings(n, 6*n, servers) {
 		b.settings.Zone = "z0"
 		for _, s := range []*server{b.servers[servers[1].ID], b.servers[servers[6].ID]} {
 			for _, r := range append([]*request(nil), s.connections...) {
@@ -129,24 +132,24 @@
 		}
 		for i := range 10 {
 			b.host.actions = nil
-			b.Request(t0+ms, req(fmt.Sprint("r", i), uint64(i)*7919+uint64(total)))
+			b.Request(t0+ms, newRequest(fmt.Sprint("r", i), uint64(i)*7919+uint64(total)))
 			for _, a := range b.host.take("send") {
 				sent[a.server]++
 				total++
 			}
 		}
 	}
-	slow, most := 0, 0
+	sentToSlowZone, maxSent := 0, 0
 	for _, s := range servers {
 		if s.Zone == "z1" {
-			slow += sent[s.ID]
+			sentToSlowZone += sent[s.ID]
 		}
-		most = max(most, sent[s.ID])
+		maxSent = max(maxSent, sent[s.ID])
 	}
-	if total < 9*n || slow > total/50 {
-		t.Errorf("%d of %d sent to the slow zone", slow, total)
+	if total < 9*n || sentToSlowZone > total/50 {
+		t.Errorf("%d of %d sent to the slow zone", sentToSlowZone, total)
 	}
-	if mean := total / 32; most > 2*mean {
-		t.Errorf("the busiest server got %d, the mean is %d", most, mean)
+	if mean := total / 32; maxSent > 2*mean {
+		t.Errorf("the busiest server got %d requests, the mean is %d", maxSent, mean)
 	}
 }
--- a/policy/answer_test.go
+++ b/policy/answer_test.go
@@ -5,138 +5,141 @@
 	"time"
 )
 
-// answered takes one request and tells the retry hint of the refusal in the same event, or -1 if there was none.
-func answered(b *Balancer, h *fakeHost, now time.Duration, q Request) time.Duration {
+// refusalHint places a request and returns the retry hint of its refusal in the same event, or -1 if it was not
+// refused.
+func refusalHint(b *Balancer, h *fakeHost, now time.Duration, q Request) time.Duration {
 	h.actions = nil
 	b.Request(now, q)
 	if got := h.take("refuse"); len(got) == 1 {
-		return got[0].d
+		return got[0].duration
 	}
 	return -1
 }
 
-func TestNothingToWaitForIsAnsweredAtOnce(t *testing.T) {
+func TestRequestsWithoutProspectAreRefusedAtOnce(t *testing.T) {
 	aim := settings().Classes["safe"].SetupTarget
 	servers := fleet(2)
-	b, h := newBalancer(t, called(Draining, servers))
-	if hint := answered(b, h, t0, req("r", 1)); hint < 2*aim || hint > 4*aim {
+	b, h := newBalancer(t, withState(Draining, servers))
+	if hint := refusalHint(b, h, t0, newRequest("r", 1)); hint < 2*aim || hint > 4*aim {
 		t.Errorf("all servers drain: hint %v", hint)
 	}
 	b, h = newBalancer(t, servers)
-	send(t, b, h, t0, req("r", 1))
+	sendRequest(t, b, h, t0, newRequest("r", 1))
 	b.Outcome(t0, "r", Rejected, false)
 	h.actions = nil
 	b.Outcome(t0, "r", Rejected, false)
 	if got := h.take("refuse"); len(got) != 1 {
-		t.Errorf("every server turned it away: %v", got)
+		t.Errorf("every server rejected it: %v", got)
 	}
-	set := settings() // a list that comes by itself names nobody
+	set := settings() // a list that is pushed names no server
 	set.MustWatch = false
 	b, h = newBalancerWith(t, set, nil)
-	if hint := answered(b, h, t0, req("r", 1)); hint < 2*aim {
-		t.Errorf("empty list: hint %v", hint)
+	if hint := refusalHint(b, h, t0, newRequest("r", 1)); hint < 2*aim {
+		t.Errorf("empty pushed list: hint %v", hint)
 	}
 }
 
-// A call for the list is under way: the request waits for it for half of its time.
-func TestEmptyListWaitsForTheCallUnderWay(t *testing.T) {
+// While a call for the list is under way, a request waits for its answer for up to half of its time.
+func TestRequestWaitsForAListUnderWay(t *testing.T) {
 	b, h := newBalancer(t, nil)
-	if hint := answered(b, h, t0, req("r", 1)); hint >= 0 {
-		t.Fatal("refused though a list may come")
+	if hint := refusalHint(b, h, t0, newRequest("r", 1)); hint >= 0 {
+		t.Fatal("refused though a list may still arrive")
 	}
 	b.Members(t0+100*ms, Full, fleet(3))
 	b.Wake(t0+200*ms, timerWaiting)
 	if got := h.take("send"); len(got) != 1 {
-		t.Errorf("not sent when the list came: %v", got)
+		t.Errorf("not sent when the list arrived: %v", got)
 	}
 	b, h = newBalancer(t, nil)
-	b.Request(t0, req("r", 1))
+	b.Request(t0, newRequest("r", 1))
 	b.Wake(t0+1001*ms, timerWaiting)
 	if got := h.take("refuse"); len(got) != 1 {
-		t.Errorf("no list came for half of its time: %v", got)
+		t.Errorf("not refused though no list arrived for half of its time: %v", got)
 	}
 	b.Members(t0+2*time.Second, Full, nil)
-	if hint := answered(b, h, t0+2*time.Second, req("s", 1)); hint < 0 {
-		t.Error("held though the call has been answered with nobody")
+	if hint := refusalHint(b, h, t0+2*time.Second, newRequest("s", 1)); hint < 0 {
+		t.Error("held though the call was answered with an empty list")
 	}
 }
 
-// All servers are cold and spent: the request waits if the next draw comes in time, else it is told when.
-func TestColdServersAreWaitedForOnlyInTime(t *testing.T) {
-	b, h := allColdAndSpent(t)
-	q := req("short", 99)
+// All servers are cold and their budgets are spent: a request is held if the next budget is drawn in time, else it is
+// refused with a hint.
+func TestRequestsWaitForColdServersOnlyInTime(t *testing.T) {
+	b, h := coldServersWithSpentBudgets(t)
+	q := newRequest("short", 99)
 	q.TTL = time.Second
-	if hint := answered(b, h, t0+2*ms, q); hint < 1490*ms || hint > 3*time.Second {
-		t.Errorf("hint %v, want one to two spans of Fall", hint)
+	if hint := refusalHint(b, h, t0+2*ms, q); hint < 1490*ms || hint > 3*time.Second {
+		t.Errorf("hint %v, want one to two overload spans", hint)
 	}
-	q = req("long", 99)
-	if hint := answered(b, h, t0+2*ms, q); hint >= 0 {
-		t.Error("refused though there may be room in time")
+	q = newRequest("long", 99)
+	if hint := refusalHint(b, h, t0+2*ms, q); hint >= 0 {
+		t.Error("refused though a server may be available in time")
 	}
 }
 
-// A spent budget says when it has an attempt again; clients that leave together do not return together.
-func TestSpentBudgetTellsWhenToComeBack(t *testing.T) {
+// When the retry budget is spent, the hint of a refusal says when it allows another attempt. The hints are randomised,
+// so that clients refused together do not come back together.
+func TestSpentBudgetHintSaysWhenToRetry(t *testing.T) {
 	seen := map[time.Duration]bool{}
 	for seed := range 20 {
-		b, h := rationed(t, 1, 0)
+		b, h := newBudgetBalancer(t, 1, 0)
 		for range seed {
 			b.rng.Uint64()
 		}
-		if !failing(t, b, h, t0, "a") {
-			t.Fatal("the spare attempt was not made")
+		if !retriesAfterRejection(t, b, h, t0, "a") {
+			t.Fatal("the retry that the budget allows was not made")
 		}
-		b.Request(t0+500*ms, req("b", 3))
+		b.Request(t0+500*ms, newRequest("b", 3))
 		h.actions = nil
 		b.Outcome(t0+500*ms, "b", Rejected, false)
 		got := h.take("refuse")
-		if len(got) != 1 || got[0].d < 1500*ms || got[0].d > 3*time.Second+1 {
+		if len(got) != 1 || got[0].duration < 1500*ms || got[0].duration > 3*time.Second+1 {
 			t.Fatalf("refusals %v, want one with a hint of 1.5 to 3 s", got)
 		}
-		seen[got[0].d] = true
+		seen[got[0].duration] = true
 	}
 	if len(seen) < 15 {
 		t.Errorf("only %d different hints of 20", len(seen))
 	}
 }
 
-// What was lost on the way is not waited for longer than the aim while another attempt may follow; where most of
-// the fleet fails an attempt has half of the time, and where none may follow all of it.
+// While another attempt may follow, an attempt times out at the set-up target, as its packets may be lost. If most of
+// the fleet fails it gets half of the remaining time, and all of it if no other attempt may follow.
 func TestTimeoutLeavesTimeForAnotherAttempt(t *testing.T) {
 	aim := settings().Classes["safe"].SetupTarget
-	b, h := rationed(t, 1, 0)
+	b, h := newBudgetBalancer(t, 1, 0)
 	sent := func(id string) time.Duration {
 		h.actions = nil
-		b.Request(t0, req(id, 3))
+		b.Request(t0, newRequest(id, 3))
 		if got := h.take("send"); len(got) == 1 {
-			return got[0].d
+			return got[0].duration
 		}
 		return 0
 	}
 	if d := sent("first"); d != aim {
-		t.Errorf("time-out %v, want the aim", d)
+		t.Errorf("time-out %v, want the set-up target", d)
 	}
-	b.retryTimes = []time.Duration{t0} // the spare attempt has been made
+	b.retryTimes = []time.Duration{t0} // the retry that the budget allows has been made
 	if d := sent("spent"); d != 2*time.Second {
-		t.Errorf("time-out %v though no other may follow", d)
+		t.Errorf("time-out %v though no other attempt may follow", d)
 	}
 	b.retryTimes = nil
 	for _, s := range b.list {
 		b.eject(t0, s)
 	}
-	q := req("full", 3)
-	q.MidFlow = true // never refused
+	q := newRequest("full", 3)
+	q.MidFlow = true // never shed
 	b.Request(t0, q)
-	if got := h.take("send"); len(got) == 0 || got[len(got)-1].d != time.Second {
-		t.Errorf("sends %v, want half of the time", got)
+	if got := h.take("send"); len(got) == 0 || got[len(got)-1].duration != time.Second {
+		t.Errorf("sends %v, want a time-out of half of the time", got)
 	}
 }
 
-// Who leaves while its request is held is not sent for when a server comes.
-func TestNothingIsSentForAHeldRequestOfOneWhoLeft(t *testing.T) {
+// A request whose client leaves while it is held is not sent when a server becomes available.
+func TestHeldRequestOfAGoneClientIsNotSent(t *testing.T) {
 	b, h := newBalancer(t, nil)
-	b.Request(t0, req("stays", 3))
-	b.Request(t0, req("leaves", 4))
+	b.Request(t0, newRequest("stays", 3))
+	b.Request(t0, newRequest("leaves", 4))
 	b.ClientGone(t0+ms, "leaves")
 	b.Members(t0+2*ms, Full, fleet(2))
 	h.actions = nil
--- a/policy/api.go
+++ b/policy/api.go
@@ -41,7 +41,7 @@
 	Siblings          int           // balancers that share the servers, including this one; 0 counts as 1
 	SiblingMessaging  bool          // siblings may send each other messages
 	Probes            bool          // servers may be probed for a report; see Host.Probe
-	QuotaConnections  float64       // open connections within the tenants' quotas, summed over all siblings; 0 if not given
+	QuotaConnections  float64       // open connections within the tenants' quotas, over all siblings; 0 if not given
 	Tick              time.Duration // minimum spacing of events
 	MustWatch         bool          // the list of servers has to be watched, as it is not pushed
 	MaxWatchInterval  time.Duration // longest time without a call for the list while no watch is open
--- a/policy/ask_test.go
+++ b/policy/ask_test.go
@@ -6,17 +6,18 @@
 	"time"
 )
 
-// asking makes siblings that may ask for reports, before the same servers.
-func asking(n int, servers []Server) (out []*sibling) {
-	out = siblings(n, 0, servers)
+// newProbingSiblings returns siblings that may probe the same servers for reports.
+func newProbingSiblings(n int, servers []Server) (out []*sibling) {
+	out = newSiblings(n, 0, servers)
 	for _, b := range out {
 		b.settings.Probes, b.host.actions = true, nil
 	}
 	return out
 }
 
-// fates gives each sibling a request, and counts the servers that these are sent to, the "refused" and the "held".
-func fates(all []*sibling, q func(i int) Request) map[string]int {
+// countPlacements gives each sibling a request and counts these by the server that they are sent to, or as "refused" or
+// "held".
+func countPlacements(all []*sibling, q func(i int) Request) map[string]int {
 	out := map[string]int{"held": len(all)}
 	for i, b := range all {
 		b.host.actions = nil
@@ -34,32 +35,33 @@
 	return out
 }
 
-func sameKey(i int) Request  { return req(fmt.Sprint("r", i), 7) }
-func otherKey(i int) Request { return req(fmt.Sprint("r", i), uint64(i)) }
+func sameKey(i int) Request     { return newRequest(fmt.Sprint("r", i), 7) }
+func distinctKey(i int) Request { return newRequest(fmt.Sprint("r", i), uint64(i)) }
 
-// To each of 80 balancers a key's two top servers are equally empty; all together fill both. A few take the top.
-func TestTiesOfManyBalancersAreSharedByBothTopServers(t *testing.T) {
+// To each of 80 balancers the two top servers of a key look equally empty, and together they use both evenly. A few
+// balancers always take the top one.
+func TestLargeFleetBreaksTiesAtRandom(t *testing.T) {
 	for _, c := range []struct{ n, low, high int }{{80, 25, 55}, {3, 3, 3}, {9, 9, 9}} {
-		all := siblings(c.n, 0, fleet(10))
-		if top := fates(all, sameKey)[ids(all[0].Balancer, 7)[0]]; top < c.low || top > c.high {
+		all := newSiblings(c.n, 0, fleet(10))
+		if top := countPlacements(all, sameKey)[rankedIDs(all[0].Balancer, 7)[0]]; top < c.low || top > c.high {
 			t.Errorf("%d of %d balancers took the top", top, c.n)
 		}
 	}
 }
 
-// One of many asks the two servers that it would compare, and waits for both.
-func TestOneOfManyAsksBeforeItPlaces(t *testing.T) {
-	b := asking(80, fleet(10))[0]
-	rank := ids(b.Balancer, 7)
-	b.Request(t0, req("r", 7))
-	if asks := b.host.take("ask"); len(asks) != 2 || asks[0].server != rank[0] || asks[1].server != rank[1] {
-		t.Fatalf("asked %v, want %v", asks, rank[:2])
+// A balancer of a large fleet probes the two servers that it would compare, and waits for both reports.
+func TestLargeFleetProbesBeforePlacing(t *testing.T) {
+	b := newProbingSiblings(80, fleet(10))[0]
+	rank := rankedIDs(b.Balancer, 7)
+	b.Request(t0, newRequest("r", 7))
+	if probes := b.host.take("probe"); len(probes) != 2 || probes[0].server != rank[0] || probes[1].server != rank[1] {
+		t.Fatalf("probed %v, want %v", probes, rank[:2])
 	}
 	b.ProbeResult(t0+ms, rank[0], Report{Answered: true, Delay: 80 * ms}) // near its capacity
 	b.Wake(t0+2*ms, timerWaiting)
 	for _, a := range b.host.actions {
-		if a.name == "send" || a.name == "ask" && a.server != rank[2] {
-			t.Fatalf("%v before the second report, or asked again while a question is out", a)
+		if a.name == "send" || a.name == "probe" && a.server != rank[2] {
+			t.Fatalf("%v before the second report, or a second probe while one is under way", a)
 		}
 	}
 	b.ProbeResult(t0+3*ms, rank[1], Report{Answered: true})
@@ -67,20 +69,21 @@
 	if got := b.host.take("send"); len(got) != 1 || got[0].server != rank[1] && got[0].server != rank[2] {
 		t.Fatalf("sent %v, want one of %v", got, rank[1:3])
 	}
-	b.Request(t0+500*ms, req("s", 7)) // what was heard lately is not asked for again
-	if asks := b.host.take("ask"); len(asks) != 0 {
-		t.Errorf("asked again for %v", asks)
+	b.Request(t0+500*ms, newRequest("s", 7)) // a server with a fresh report is not probed again
+	if probes := b.host.take("probe"); len(probes) != 0 {
+		t.Errorf("probed again: %v", probes)
 	}
 }
 
-// Without an answer the request is sent well within its aim; a server that gave none is passed over.
-func TestNoAnswerHoldsNobodyUp(t *testing.T) {
-	b := asking(80, fleet(10))[0]
-	rank := ids(b.Balancer, 7)
-	b.Request(t0, req("r", 7))
+// If no report arrives the request is sent well before its set-up target, and a server that did not answer the probe is
+// passed over.
+func TestUnansweredProbeDoesNotDelayRequests(t *testing.T) {
+	b := newProbingSiblings(80, fleet(10))[0]
+	rank := rankedIDs(b.Balancer, 7)
+	b.Request(t0, newRequest("r", 7))
 	b.ProbeResult(t0+200*ms, rank[0], Report{})
 	if b.passOver(t0+201*ms, &request{}, b.servers[rank[0]]) != ejected {
-		t.Error("not passed over though it gave no report")
+		t.Error("not passed over though it did not answer a probe")
 	}
 	b.host.actions = nil
 	for at := t0 + 201*ms; at < t0+settings().Classes["safe"].SetupTarget; at += 5 * ms {
@@ -88,60 +91,62 @@
 			return
 		}
 	}
-	t.Error("not sent within its aim")
+	t.Error("not sent within the set-up target")
 }
 
-// Few balancers ask nothing, nor do many where servers are not to be asked.
-func TestFewBalancersAskNothing(t *testing.T) {
-	for _, s := range []*sibling{asking(3, fleet(10))[0], siblings(80, 0, fleet(10))[0]} {
+// Balancers of a small fleet do not probe, nor do those of a large fleet that has no probes.
+func TestSmallFleetDoesNotProbe(t *testing.T) {
+	for _, s := range []*sibling{newProbingSiblings(3, fleet(10))[0], newSiblings(80, 0, fleet(10))[0]} {
 		s.host.actions = nil
-		s.Request(t0, req("r", 7))
+		s.Request(t0, newRequest("r", 7))
 		if acts := s.host.actions; len(acts) != 1 || acts[0].name != "send" {
-			t.Errorf("did %v", acts)
+			t.Errorf("actions %v, want one send", acts)
 		}
 	}
 }
 
-// Each of 80 balancers sees two or three connections of three flights; asking, they fill no server beyond its room.
-func TestManyBalancersFillServersEvenlyByAsking(t *testing.T) {
-	const n, clients, room = 80, 200, 26 // of a server, before messages take long
-	for _, asks := range []bool{true, false} {
-		all, most, sum, stand := siblings(n, 0, fleet(10)), 0, 0, map[string]int{}
+// Each of 80 balancers sees two or three connections of three groups. With probes, no server gets more connections than
+// it has capacity for.
+func TestProbesKeepServersOfALargeFleetWithinCapacity(t *testing.T) {
+	const n, clients, capacity = 80, 200, 26 // of a server, in connections, before messages slow down
+	for _, probing := range []bool{true, false} {
+		all, maxConnections, placed, connections := newSiblings(n, 0, fleet(10)), 0, 0, map[string]int{}
 		for i := range clients {
-			b, now, q := all[i*7%n], t0+time.Duration(i)*50*ms, req(fmt.Sprint("r", i), uint64(i%3))
-			b.settings.Probes, b.host.actions = asks, nil
+			b, now, q := all[i*7%n], t0+time.Duration(i)*50*ms, newRequest(fmt.Sprint("r", i), uint64(i%3))
+			b.settings.Probes, b.host.actions = probing, nil
 			b.Request(now, q)
-			for range 20 { // rounds of questions
+			for range 20 { // rounds of probes
 				acts := b.host.actions
 				b.host.actions = nil
 				for _, a := range acts {
-					if late := time.Duration(stand[a.server] / room); a.name == "ask" {
+					if late := time.Duration(connections[a.server] / capacity); a.name == "probe" {
 						b.ProbeResult(now, a.server, Report{Answered: true, Delay: min(late, 1) * 80 * ms})
 					} else if a.name == "send" {
-						stand[a.server]++
-						most, sum = max(most, stand[a.server]), sum+1
+						connections[a.server]++
+						maxConnections, placed = max(maxConnections, connections[a.server]), placed+1
 						b.ConnectionEstablished(now, q.ID)
 					}
 				}
 			}
 		}
-		if sum < clients*4/5 { // some are told to come back, by balancers that know of full servers only
-			t.Errorf("asks %v: %d of %d stand", asks, sum, clients)
+		if placed < clients*4/5 { // some are refused, by balancers that know of full servers only
+			t.Errorf("probes %v: %d of %d connections established", probing, placed, clients)
 		}
-		if over := most > room+3; over == asks {
-			t.Errorf("asks %v: %d on the fullest server, which has room for %d", asks, most, room)
+		if overfilled := maxConnections > capacity+3; overfilled == probing {
+			t.Errorf("probes %v: %d connections on the fullest server, which has capacity for %d", probing, maxConnections, capacity)
 		}
 	}
 }
 
-// What is late already is sent nothing more by one of many, however long a request has waited; a few let it yield.
-func TestLateServersDoNotYieldAtSize(t *testing.T) {
+// A balancer of a large fleet never sends to a slow server, however long a request has been held. One of a small fleet
+// does so at last.
+func TestLargeFleetNeverUsesSlowServers(t *testing.T) {
 	for _, n := range []int{3, 80} {
-		b := asking(n, fleet(2))[0]
+		b := newProbingSiblings(n, fleet(2))[0]
 		for _, s := range b.list {
 			s.delay, s.delayAt, s.reportedAt = 80*ms, t0+900*ms, t0+900*ms
 		}
-		b.Request(t0, req("r", 7))
+		b.Request(t0, newRequest("r", 7))
 		b.Wake(t0+1001*ms, timerWaiting)
 		if sent := len(b.host.take("send")); (sent == 1) != (n == 3) {
 			t.Errorf("%d balancers: %d sent", n, sent)
@@ -149,11 +154,11 @@
 	}
 }
 
-// All known servers are late, and requests refused for it; a cold server gets its part all the same.
-func TestWhoIsRefusedHasAChanceAtColdServers(t *testing.T) {
+// All known servers are slow and requests are refused. A cold server still gets its share of requests.
+func TestColdServerGetsItsShareThoughAllOthersAreSlow(t *testing.T) {
 	servers := fleet(8)
 	servers[7].Started = t0 - 5*time.Second
-	all := asking(400, servers)
+	all := newProbingSiblings(400, servers)
 	for _, b := range all {
 		b.settings.QuotaConnections = 400
 		for _, s := range b.list {
@@ -162,18 +167,18 @@
 			}
 		}
 	}
-	got := fates(all, otherKey)
+	got := countPlacements(all, distinctKey)
 	cold := got[servers[7].ID]
 	if other := len(all) - cold - got["refused"] - got["held"]; cold == 0 || cold > 60 || other > 0 {
-		t.Errorf("%d sent to the cold server, %d to late ones", cold, other)
+		t.Errorf("%d sent to the cold server, %d to slow ones", cold, other)
 	}
 }
 
-// A cold server is all that is left: who has drawn no chance at it is told to come back at once, not held to the end.
-func TestWhoHasNoChanceIsAnsweredAtOnce(t *testing.T) {
+// Only a cold server is left. Requests whose draw excludes it are refused at once instead of being held to the end.
+func TestRequestsExcludedFromAColdServerAreRefusedAtOnce(t *testing.T) {
 	servers := fleet(1)
 	servers[0].Started = t0
-	got := fates(siblings(80, 0, servers), otherKey)
+	got := countPlacements(newSiblings(80, 0, servers), distinctKey)
 	if sent, refused := got[servers[0].ID], got["refused"]; sent+refused != 80 || refused < 60 {
 		t.Errorf("%d sent, %d refused at once, of 80", sent, refused)
 	}
--- a/policy/calls_test.go
+++ b/policy/calls_test.go
@@ -7,20 +7,21 @@
 	"time"
 )
 
-// listService answers calls for the list in turn, one every each; a call that has waited for the limit is refused.
+// listService answers calls for the list one after the other, each in serviceTime. A call that has waited for maxWait
+// is refused.
 type listService struct {
-	each, limit time.Duration
-	free        time.Duration // when it is done with all that it has accepted
+	serviceTime, maxWait time.Duration
+	freeAt               time.Duration // when all accepted calls are answered
 }
 
-// call takes a call and tells when it is answered or refused.
+// call accepts a call and returns when it is answered or refused.
 func (s *listService) call(at time.Duration) (done time.Duration, answered bool) {
-	s.free = max(s.free, at)
-	if s.free-at > s.limit {
-		return at + s.limit, false
+	s.freeAt = max(s.freeAt, at)
+	if s.freeAt-at > s.maxWait {
+		return at + s.maxWait, false
 	}
-	s.free += s.each
-	return s.free, true
+	s.freeAt += s.serviceTime
+	return s.freeAt, true
 }
 
 // plannedCall is a sibling's next call for the list.
@@ -29,27 +30,27 @@
 	at time.Duration
 }
 
-// plan tells a sibling an event of the list and returns the call that it plans.
-func plan(t *testing.T, b *sibling, now time.Duration, kind MembersKind) plannedCall {
+// planCall delivers a list event to a sibling and returns the call that it schedules.
+func planCall(t *testing.T, b *sibling, now time.Duration, kind MembersKind) plannedCall {
 	t.Helper()
 	b.host.actions = nil
 	b.Members(now, kind, nil)
 	for _, wake := range b.host.take("wake") {
 		if wake.timer == timerWatch {
-			return plannedCall{b: b, at: wake.d}
+			return plannedCall{b: b, at: wake.duration}
 		}
 	}
-	t.Fatal("no call planned")
+	t.Fatal("no call scheduled")
 	return plannedCall{}
 }
 
-// callUntilAnswered has all siblings call a service, again after each refusal, and tells how many calls were refused and
-// when the last sibling was answered.
+// callUntilAnswered makes all siblings call a service, again after each refusal. It returns how many calls were refused
+// and when the last sibling was answered.
 func callUntilAnswered(t *testing.T, all []*sibling, service *listService, kind MembersKind) (refused int, last time.Duration) {
 	t.Helper()
 	var calls []plannedCall
 	for _, b := range all {
-		calls = append(calls, plan(t, b, t0, kind))
+		calls = append(calls, planCall(t, b, t0, kind))
 	}
 	byTime := func(c, o plannedCall) int { return cmp.Compare(c.at, o.at) }
 	slices.SortFunc(calls, byTime)
@@ -62,60 +63,61 @@
 			continue
 		}
 		refused++
-		again := plan(t, next.b, done, WatchFailed)
-		place, _ := slices.BinarySearchFunc(calls, again, byTime)
-		calls = slices.Insert(calls, place, again)
+		retry := planCall(t, next.b, done, WatchFailed)
+		place, _ := slices.BinarySearchFunc(calls, retry, byTime)
+		calls = slices.Insert(calls, place, retry)
 	}
 	return refused, last
 }
 
-// A service that can take one call of each sibling before what it has to tell counts as told has hardly to refuse any
-// after an outage. One that needs most of AskWithin for it cannot tell all in time; at the start and after an outage it is
-// never idle for long, so that all are answered no later than by one more call after the least time that it needs, and on
-// the mean nobody is refused more than once.
-func TestListCallsOfSiblingsDoNotJamTheService(t *testing.T) {
+// If the service can answer a call of each sibling before a change counts as notified, it refuses hardly any call after
+// an outage. If it needs most of MaxWatchInterval to answer all siblings it cannot notify them in time; then it is
+// never idle for long at the start and after an outage, so that all siblings are answered no later than one further
+// call after the minimum time that it needs, and on average no sibling is refused more than once.
+func TestListCallsOfSiblingsDoNotOverloadTheService(t *testing.T) {
 	for _, n := range []int{3, 30, 300, 700, 1024} {
-		service := &listService{each: notifiedWithin * 3 / 4 / time.Duration(max(n, 45)), limit: 2 * time.Second}
-		if refused, _ := callUntilAnswered(t, siblings(n, 0, fleet(100)), service, WatchFailed); refused > n/20 {
+		service := &listService{serviceTime: notifiedWithin * 3 / 4 / time.Duration(max(n, 45)), maxWait: 2 * time.Second}
+		if refused, _ := callUntilAnswered(t, newSiblings(n, 0, fleet(100)), service, WatchFailed); refused > n/20 {
 			t.Errorf("%d siblings after an outage: %d calls refused", n, refused)
 		}
 		for _, kind := range []MembersKind{Cached, WatchFailed} {
-			slow := &listService{each: settings().MaxWatchInterval * 4 / 5 / time.Duration(max(n, 80)), limit: 2 * time.Second}
-			refused, last := callUntilAnswered(t, siblings(n, 0, fleet(100)), slow, kind)
-			least := slow.each * time.Duration(max(n, 80))
-			if last > least+notifiedWithin*3/4 || refused > n {
+			slow := &listService{serviceTime: settings().MaxWatchInterval * 4 / 5 / time.Duration(max(n, 80)), maxWait: 2 * time.Second}
+			refused, last := callUntilAnswered(t, newSiblings(n, 0, fleet(100)), slow, kind)
+			minTime := slow.serviceTime * time.Duration(max(n, 80))
+			if last > minTime+notifiedWithin*3/4 || refused > n {
 				t.Errorf("%d siblings, event %v: %d calls refused, the last sibling answered after %v", n, kind, refused, last)
 			}
-			if n < 10 && last > time.Second+slow.each {
+			if n < 10 && last > time.Second+slow.serviceTime {
 				t.Errorf("%d siblings, event %v: the last one answered after %v", n, kind, last)
 			}
 		}
 	}
 }
 
-// A process that has just started holds a list that may be seconds old: what has changed since may count as told as soon
-// as it serves. However many siblings there are, it asks at once, as it cannot know whether they started too.
-func TestFirstCallIsMadeAtOnceInAnyFleet(t *testing.T) {
+// A process that has just started may hold a list that is seconds old, and changes since then may count as notified as
+// soon as it serves. It therefore calls at once however many siblings there are, as it cannot know whether they have
+// started too.
+func TestFirstListCallIsMadeAtOnceInAnyFleet(t *testing.T) {
 	for _, n := range []int{1, 3, 30, 300, 1024} {
-		for _, b := range siblings(n, 0, fleet(10)) {
-			if at := plan(t, b, t0, Cached).at - t0; at > min(300*ms, time.Duration(n)*12*ms) {
+		for _, b := range newSiblings(n, 0, fleet(10)) {
+			if at := planCall(t, b, t0, Cached).at - t0; at > min(300*ms, time.Duration(n)*12*ms) {
 				t.Fatalf("%d siblings: the first call is made %v after the start", n, at)
 			}
 		}
 	}
 }
 
-// The next call after a refusal is answered before what the service has to tell counts as told: in any fleet a call that
-// follows within 4.5 s leaves 1.5 s for the answer; of up to 24 siblings it follows so soon that a busy service, which takes
-// 3.9 s, has answered it by then.
-func TestNextCallFollowsInTimeThoughCallsFail(t *testing.T) {
+// The call after a refusal is answered before a change counts as notified. In any fleet, a call that follows within 4.5
+// s leaves 1.5 s for the answer. In a fleet of up to 24 it follows so soon that a busy service, which takes 3.9 s, has
+// answered it by then.
+func TestNextListCallFollowsInTimeAfterFailures(t *testing.T) {
 	const answer = 1500 * ms
 	for _, n := range []int{3, 24, 30, 80, 300, 700, 1024} {
-		for _, b := range siblings(n, 0, fleet(10)) {
+		for _, b := range newSiblings(n, 0, fleet(10)) {
 			for fails := range 8 {
-				wait := plan(t, b, t0, WatchFailed).at - t0
+				wait := planCall(t, b, t0, WatchFailed).at - t0
 				if latest := min(time.Duration(max(n, 24))*100*ms, notifiedWithin-answer); wait > latest {
-					t.Fatalf("%d siblings, failure %d: asks %v after it, later than %v", n, fails+1, wait, latest)
+					t.Fatalf("%d siblings, failure %d: the next call is %v after it, later than %v", n, fails+1, wait, latest)
 				}
 			}
 		}
--- a/policy/changes_test.go
+++ b/policy/changes_test.go
@@ -7,25 +7,25 @@
 	"time"
 )
 
-func TestEmptyListHoldsThenRefuses(t *testing.T) {
+func TestEmptyListHoldsThenRefusesRequests(t *testing.T) {
 	b, h := newBalancer(t, nil)
-	b.Request(t0, req("r", 1))
+	b.Request(t0, newRequest("r", 1))
 	wakes := h.take("wake")
-	if len(wakes) != 1 || wakes[0].d >= t0+2*time.Second {
-		t.Fatalf("a held request set no timer before its deadline: %v", wakes)
+	if len(wakes) != 1 || wakes[0].duration >= t0+2*time.Second {
+		t.Fatalf("no timer before the deadline of the held request: %v", wakes)
 	}
 	b.Wake(t0+1995*ms, timerWaiting)
 	if got := h.take("refuse"); len(got) != 1 {
 		t.Errorf("refusals: %v", got)
 	}
 	if len(b.requests) != 0 || len(b.waiting) != 0 {
-		t.Error("the request is still remembered")
+		t.Error("the request is still stored")
 	}
 }
 
-func TestLapsedAndLateEventsAreHarmless(t *testing.T) {
+func TestEventsOfEndedRequestsAreIgnored(t *testing.T) {
 	b, h := newBalancer(t, nil)
-	b.Request(t0, req("r", 1))
+	b.Request(t0, newRequest("r", 1))
 	b.ClientGone(t0+ms, "r")
 	b.ClientGone(t0+ms, "r")
 	b.Outcome(t0+ms, "r", OK, true)
@@ -38,13 +38,13 @@
 	}
 }
 
-func TestOpenConnectionsCount(t *testing.T) {
+func TestInheritedConnectionsCount(t *testing.T) {
 	b, h := newBalancer(t, fleet(4))
-	top := ids(b, 9)
-	q := req("old", 9)
+	top := rankedIDs(b, 9)
+	q := newRequest("old", 9)
 	b.Inherit(t0, q, top[0])
-	if got := send(t, b, h, t0, req("new", 9)); got != top[1] {
-		t.Errorf("went to %s though the top holds an open connection", got)
+	if got := sendRequest(t, b, h, t0, newRequest("new", 9)); got != top[1] {
+		t.Errorf("went to %s though the top server holds a connection", got)
 	}
 	b.Outcome(t0+ms, "old", OK, true)
 	if n := len(b.servers[top[0]].connections); n != 0 {
@@ -52,7 +52,7 @@
 	}
 }
 
-func TestWatchAsksAgainWithinAskWithin(t *testing.T) {
+func TestWatchIsRetriedWithinMaxWatchInterval(t *testing.T) {
 	h := &fakeHost{}
 	b := New(settings(), 3, h)
 	now := t0
@@ -61,27 +61,27 @@
 		var at time.Duration
 		for _, w := range h.take("wake") {
 			if w.timer == timerWatch {
-				at = w.d
+				at = w.duration
 			}
 		}
 		if limit := settings().MaxWatchInterval << min(2*i, 2); at < now || at >= now+limit {
-			t.Fatalf("asks at %v, now %v", at, now)
+			t.Fatalf("next call at %v, now %v", at, now)
 		}
 		now = at
 		b.Wake(now, timerWatch)
 		if got := h.take("watch"); len(got) != 1 {
-			t.Fatal("did not ask")
+			t.Fatal("no call")
 		}
 		b.Members(now, WatchFailed, nil)
 	}
 	h.actions = nil
 	b.Members(now, Full, fleet(2))
 	if len(h.take("wake")) != 0 {
-		t.Error("asks again though subscribed")
+		t.Error("another call though the watch succeeded")
 	}
 }
 
-func TestFullListRemovesAndGoneIsForgotten(t *testing.T) {
+func TestServersThatAreGoneAreForgotten(t *testing.T) {
 	servers := fleet(4)
 	b, _ := newBalancer(t, servers)
 	b.Members(t0+ms, Full, servers[:2])
@@ -95,7 +95,7 @@
 	}
 }
 
-func TestRestartUnderOneIDVoidsWhatWasLearned(t *testing.T) {
+func TestRestartUnderTheSameIDClearsObservations(t *testing.T) {
 	servers := fleet(4)
 	b, _ := newBalancer(t, servers)
 	s := b.list[0]
@@ -105,16 +105,16 @@
 	e.Started = t0
 	b.Members(t0, Delta, []Server{e})
 	if t0 < s.ejectedUntil || b.isSlow(t0, s) {
-		t.Error("a fresh process is held to what the old one did")
+		t.Error("a new process is passed over for the failures of the old one")
 	}
 	if b.capacityShare(t0, s) >= 1 {
-		t.Error("a fresh process counts as warm")
+		t.Error("a new process counts as warm")
 	}
 }
 
-// A server that comes and goes, under one id, leaves one entry and no trace; one named twice counts once; and a
-// full list of an older time brings back what it names.
-func TestListsThatFlapRepeatAndGoBack(t *testing.T) {
+// A server that leaves and returns under the same id leaves a single entry and no other state. A server named twice
+// counts once. An older full list brings back the servers that it names.
+func TestFlappingRepeatedAndOlderLists(t *testing.T) {
 	servers := fleet(4)
 	b, h := newBalancer(t, servers)
 	old := b.list[2].Server
@@ -126,7 +126,7 @@
 			t.Fatalf("%d listed after one of four is gone", len(b.list))
 		}
 		for i := range 40 {
-			if got := send(t, b, h, t0, req(fmt.Sprint("r", i), uint64(i))); got == old.ID {
+			if got := sendRequest(t, b, h, t0, newRequest(fmt.Sprint("r", i), uint64(i))); got == old.ID {
 				t.Fatal("sent to a server that is gone")
 			}
 			b.Outcome(t0, fmt.Sprint("r", i), OK, true)
@@ -138,7 +138,7 @@
 	}
 	b.Members(t0, Full, servers[:2])
 	b.Members(t0, Full, append(slices.Clone(servers), servers...))
-	if got := ids(b, 7); len(got) != 4 {
+	if got := rankedIDs(b, 7); len(got) != 4 {
 		t.Errorf("ranks %v after a list that names each twice", got)
 	}
 }
--- a/policy/example_test.go
+++ b/policy/example_test.go
@@ -7,28 +7,28 @@
 	"tealtiller/policy"
 )
 
-// printer is a host that prints what it is told to do.
-type printer struct{}
+// printingHost is a Host that prints its actions.
+type printingHost struct{}
 
-func (printer) Send(request, server string, timeout time.Duration) {
+func (printingHost) Send(request, server string, timeout time.Duration) {
 	fmt.Println("send", request, "to", server, "within", timeout)
 }
-func (printer) Refuse(request string, _ time.Duration, _ policy.Reason) {
+func (printingHost) Refuse(request string, _ time.Duration, _ policy.Reason) {
 	fmt.Println("refuse", request)
 }
-func (printer) Fail(request string)                  { fmt.Println("fail", request) }
-func (printer) Move(request string)                  { fmt.Println("move", request) }
-func (printer) Wake(time.Duration, int64)            {}
-func (printer) NotifySiblings(uint32, time.Duration) {}
-func (printer) Probe(string)                         {}
-func (printer) Watch(bool)                           {}
-func (printer) Log(string)                           {}
+func (printingHost) Fail(request string)                  { fmt.Println("fail", request) }
+func (printingHost) Move(request string)                  { fmt.Println("move", request) }
+func (printingHost) Wake(time.Duration, int64)            {}
+func (printingHost) NotifySiblings(uint32, time.Duration) {}
+func (printingHost) Probe(string)                         {}
+func (printingHost) Watch(bool)                           {}
+func (printingHost) Log(string)                           {}
 
 func Example() {
 	b := policy.New(policy.Settings{
 		MaxAttempts: 3, Tick: time.Millisecond,
 		Classes: map[string]policy.Class{"stream": {SetupTarget: 500 * time.Millisecond}},
-	}, 1, printer{})
+	}, 1, printingHost{})
 	now := 10 * time.Second // any monotonic clock
 	b.Members(now, policy.Full, []policy.Server{
 		{ID: "one", State: policy.Ready, Weight: 1},
--- a/policy/fake_test.go
+++ b/policy/fake_test.go
@@ -13,32 +13,34 @@
 
 type action struct {
 	name, request, server string
-	d                     time.Duration
+	duration              time.Duration
 	timer                 int64
 }
 
-// fakeHost records actions.
+// fakeHost is a Host that records the actions.
 type fakeHost struct{ actions []action }
 
 func (h *fakeHost) add(a action) { h.actions = append(h.actions, a) }
 
 func (h *fakeHost) Send(r, s string, d time.Duration) {
-	h.add(action{name: "send", request: r, server: s, d: d})
+	h.add(action{name: "send", request: r, server: s, duration: d})
 }
 func (h *fakeHost) Refuse(r string, d time.Duration, _ Reason) {
-	h.add(action{name: "refuse", request: r, d: d})
+	h.add(action{name: "refuse", request: r, duration: d})
+}
+func (h *fakeHost) Fail(r string)  { h.add(action{name: "fail", request: r}) }
+func (h *fakeHost) Move(r string)  { h.add(action{name: "move", request: r}) }
+func (h *fakeHost) Probe(s string) { h.add(action{name: "probe", server: s}) }
+func (h *fakeHost) Wake(at time.Duration, n int64) {
+	h.add(action{name: "wake", duration: at, timer: n})
 }
-func (h *fakeHost) Fail(r string)                  { h.add(action{name: "fail", request: r}) }
-func (h *fakeHost) Move(r string)                  { h.add(action{name: "move", request: r}) }
-func (h *fakeHost) Probe(s string)                 { h.add(action{name: "ask", server: s}) }
-func (h *fakeHost) Wake(at time.Duration, n int64) { h.add(action{name: "wake", d: at, timer: n}) }
 func (h *fakeHost) NotifySiblings(server uint32, d time.Duration) {
-	h.add(action{name: "tell", timer: int64(server), d: d})
+	h.add(action{name: "notify", timer: int64(server), duration: d})
 }
 func (h *fakeHost) Watch(bool)      { h.add(action{name: "watch"}) }
 func (h *fakeHost) Log(text string) { h.add(action{name: "log", request: text}) }
 
-// take returns the actions of a name since the last take and forgets all.
+// take returns the recorded actions of a name and clears all recorded actions.
 func (h *fakeHost) take(name string) (out []action) {
 	for _, a := range h.actions {
 		if a.name == name {
@@ -49,6 +51,7 @@
 	return out
 }
 
+// settings returns the settings that most tests use.
 func settings() Settings {
 	return Settings{
 		MaxAttempts: 4, Tick: 5 * ms, MustWatch: true, MaxWatchInterval: 10 * time.Second,
@@ -63,6 +66,7 @@
 	}
 }
 
+// fleet returns n ready servers of equal weight.
 func fleet(n int) (out []Server) {
 	for i := range n {
 		out = append(out, Server{ID: fmt.Sprintf("srv-%c%d", 'a'+i%7, i*7919), State: Ready, Weight: 1, Cell: i % 2})
@@ -84,12 +88,13 @@
 	return b, h
 }
 
-func req(id string, key uint64) Request {
+// newRequest returns a request of class "safe" with a key.
+func newRequest(id string, key uint64) Request {
 	return Request{ID: id, Class: "safe", Key: key, HasKey: true, TTL: 2 * time.Second}
 }
 
-// tryUntilServed places a request whose attempts get no connection at the servers that fail, until it stands on
-// another or is answered, and tells where it went.
+// tryUntilServed places a request whose attempts fail to connect at some servers, until one is established or the
+// request is answered. It returns the servers tried.
 func tryUntilServed(b *Balancer, h *fakeHost, now time.Duration, q Request, fails func(server string) bool) (tried []string) {
 	h.actions = nil
 	b.Request(now, q)
@@ -104,8 +109,9 @@
 	return tried
 }
 
-// allColdAndSpent makes a balancer whose three servers just started and have been sent what they bear.
-func allColdAndSpent(t testing.TB) (*Balancer, *fakeHost) {
+// coldServersWithSpentBudgets returns a balancer whose three servers have just started and have spent their slow start
+// budgets.
+func coldServersWithSpentBudgets(t testing.TB) (*Balancer, *fakeHost) {
 	t.Helper()
 	servers := fleet(3)
 	for i := range servers {
@@ -113,13 +119,13 @@
 	}
 	b, h := newBalancer(t, servers)
 	for i := range 50 {
-		b.Request(t0+ms, req(fmt.Sprint("r", i), uint64(i)))
+		b.Request(t0+ms, newRequest(fmt.Sprint("r", i), uint64(i)))
 	}
 	return b, h
 }
 
-// send places a request and returns its server.
-func send(t testing.TB, b *Balancer, h *fakeHost, now time.Duration, q Request) string {
+// sendRequest places a request and returns the server that it is sent to.
+func sendRequest(t testing.TB, b *Balancer, h *fakeHost, now time.Duration, q Request) string {
 	t.Helper()
 	h.actions = nil
 	b.Request(now, q)
@@ -130,8 +136,8 @@
 	return sends[0].server
 }
 
-// ids is the ranking of a key.
-func ids(b *Balancer, key uint64) (out []string) {
+// rankedIDs returns the ids of the servers in the ranking of a key.
+func rankedIDs(b *Balancer, key uint64) (out []string) {
 	for s := range b.rank(carpHash(fmt.Sprint(key))) {
 		out = append(out, s.ID)
 	}
--- a/policy/fleet_test.go
+++ b/policy/fleet_test.go
@@ -9,54 +9,57 @@
 	"time"
 )
 
-// fleetRun is a fleet in virtual time: its connections stand for a while and are replaced, its balancers get unequal parts of
-// what comes, and one of its servers starts anew. What reaches that one is written down.
-type fleetRun struct {
-	all     []*sibling
-	rng     *rand.Rand
-	parts   []float64 // of what comes, summed up
-	servers []Server
-	open    map[string]int // at each server
-	cold    string
-	sent    []time.Duration // to the cold server
-	serial  int
-	keys    uint64 // where they begin: others with each seed
+// coldServerRun simulates a fleet in virtual time. Its connections last for a while and are replaced, its balancers get
+// unequal shares of the requests, and one of its servers restarts. It records the requests sent to that server.
+type coldServerRun struct {
+	balancers        []*sibling
+	rng              *rand.Rand
+	cumulativeShares []float64 // of the requests, by balancer
+	servers          []Server
+	openConnections  map[string]int // by server
+	coldID           string
+	sentToCold       []time.Duration // when requests were sent to the restarted server
+	requestCount     int
+	firstKey         uint64 // differs between seeds
 }
 
-const lives, fullest = 20 * time.Second, 40 // connections last so long on average; a warm server holds so many
+const (
+	meanLifetime = 20 * time.Second // of a connection
+	warmCapacity = 40               // connections that a warm server holds
+)
 
-func newFleetRun(n, hosts int, seed uint64) *fleetRun {
-	f := &fleetRun{rng: rand.New(rand.NewPCG(seed, uint64(n))), servers: fleet(hosts), open: map[string]int{},
-		keys: seed * 1000003}
-	standing := hosts * fullest / 2
-	f.all = siblings(n, standing, f.servers)
-	sum := 0.0
-	for i, b := range f.all {
-		b.rng, b.settings.QuotaConnections, b.settings.Probes = rand.New(rand.NewPCG(seed, uint64(i))), float64(standing), true
-		sum += 1 / math.Sqrt(float64(i+1)) // some get many times what others do
-		f.parts = append(f.parts, sum)
+func newColdServerRun(n, hosts int, seed uint64) *coldServerRun {
+	f := &coldServerRun{rng: rand.New(rand.NewPCG(seed, uint64(n))), servers: fleet(hosts), openConnections: map[string]int{},
+		firstKey: seed * 1000003}
+	established := hosts * warmCapacity / 2
+	f.balancers = newSiblings(n, established, f.servers)
+	total := 0.0
+	for i, b := range f.balancers {
+		b.rng, b.settings.QuotaConnections, b.settings.Probes = rand.New(rand.NewPCG(seed, uint64(i))), float64(established), true
+		total += 1 / math.Sqrt(float64(i+1)) // shares are very unequal
+		f.cumulativeShares = append(f.cumulativeShares, total)
 	}
 	return f
 }
 
-// restart has every third balancer from one on start anew, with the list and nothing else that it knew.
-func (f *fleetRun) restart(from int, now time.Duration) {
-	anew := siblings(len(f.all), 0, f.servers)
-	for i := from; i < len(f.all); i += 3 {
-		b := anew[i]
-		b.rng, b.settings.QuotaConnections, b.settings.Probes = f.all[i].rng, f.all[i].settings.QuotaConnections, true
+// restart replaces every third balancer, beginning with index from, by a new one that knows only the list.
+func (f *coldServerRun) restart(from int, now time.Duration) {
+	restarted := newSiblings(len(f.balancers), 0, f.servers)
+	for i := from; i < len(f.balancers); i += 3 {
+		b := restarted[i]
+		b.rng, b.settings.QuotaConnections, b.settings.Probes = f.balancers[i].rng, f.balancers[i].settings.QuotaConnections, true
 		b.Members(now, Cached, f.servers)
-		f.all[i] = b
+		f.balancers[i] = b
 	}
 }
 
-// come has a client come to one of the balancers, and follows what that does until the client stands or is answered.
-func (f *fleetRun) come(now time.Duration, returned bool) {
-	i, _ := slices.BinarySearch(f.parts, f.rng.Float64()*f.parts[len(f.parts)-1])
-	b := f.all[i]
-	f.serial++
-	q := req(fmt.Sprint("r", f.serial), f.keys+f.rng.Uint64N(uint64(len(f.servers)*2)))
-	q.Reconnecting, b.host.actions = returned, nil
+// arrive makes a client arrive at one of the balancers and follows its request until it is established or answered.
+func (f *coldServerRun) arrive(now time.Duration, reconnecting bool) {
+	i, _ := slices.BinarySearch(f.cumulativeShares, f.rng.Float64()*f.cumulativeShares[len(f.cumulativeShares)-1])
+	b := f.balancers[i]
+	f.requestCount++
+	q := newRequest(fmt.Sprint("r", f.requestCount), f.firstKey+f.rng.Uint64N(uint64(len(f.servers)*2)))
+	q.Reconnecting, b.host.actions = reconnecting, nil
 	b.Request(now, q)
 	for at := now; ; {
 		acts := b.host.actions
@@ -65,18 +68,18 @@
 		for _, a := range acts {
 			switch a.name {
 			case "send":
-				if a.server == f.cold {
-					f.sent = append(f.sent, now)
+				if a.server == f.coldID {
+					f.sentToCold = append(f.sentToCold, now)
 				}
-				f.open[a.server]++
+				f.openConnections[a.server]++
 				b.ConnectionEstablished(now, a.request)
 				return
 			case "refuse", "fail":
 				return
-			case "ask":
-				b.ProbeResult(at, a.server, Report{Answered: true, Load: float64(f.open[a.server]) / fullest})
+			case "probe":
+				b.ProbeResult(at, a.server, Report{Answered: true, Load: float64(f.openConnections[a.server]) / warmCapacity})
 			case "wake":
-				wake = a.d
+				wake = a.duration
 			}
 		}
 		if len(b.host.actions) == 0 {
@@ -89,56 +92,57 @@
 	}
 }
 
-// A server that starts anew is sent by all balancers together, in each span of Fall, at most N + 2 x root of N + 2, where N is
-// what the settings let it be sent then: also where each balancer's part is a fraction of one, where some get many times what
-// others do, when a third of all clients comes back within two seconds, and when balancers start anew within such a span.
-func TestAFleetSendsAColdServerWhatItBears(t *testing.T) {
+// Within any OverloadSpan, all balancers together send a server that has just started at most N + 2*sqrt(N) + 2
+// requests, where N is the number that the settings allow in that span. This holds even if the share of each balancer
+// is a fraction of one request, if shares are very unequal, if a third of all clients reconnects within two seconds,
+// and if balancers restart within such a span.
+func TestFleetStaysWithinTheCapacityOfAColdServer(t *testing.T) {
 	for _, c := range []struct{ balancers, hosts int }{{1, 4}, {2, 6}, {3, 8}, {8, 10}, {20, 12}, {30, 12}, {80, 20}, {300, 60}, {900, 90}} {
-		set, windows, most := settings(), 0, 0.0
-		for seed := range uint64(18) { // in the last six balancers start anew
-			f := newFleetRun(c.balancers, c.hosts, seed)
-			f.cold = f.servers[c.hosts/2].ID
+		set, windows, maxRatio := settings(), 0, 0.0
+		for seed := range uint64(18) { // in the last six runs balancers restart
+			f := newColdServerRun(c.balancers, c.hosts, seed)
+			f.coldID = f.servers[c.hosts/2].ID
 			start := t0 + 5*time.Second
-			rate := float64(c.hosts) * fullest / 2 / lives.Seconds()
+			rate := float64(c.hosts) * warmCapacity / 2 / meanLifetime.Seconds()
 			restarts := start + set.OverloadSpan/2
 			for now := t0; now < start+set.WarmAfter; {
 				if seed >= 12 && now >= restarts && now < start+4*set.OverloadSpan {
 					f.restart(int(restarts/(set.OverloadSpan/2))%3, now)
 					restarts += set.OverloadSpan / 2
 				}
-				back := now > start+5*time.Second && now < start+7*time.Second
+				storm := now > start+5*time.Second && now < start+7*time.Second
 				if now += time.Duration(f.rng.ExpFloat64() / rate * float64(time.Second)); now >= start && f.servers[c.hosts/2].Started == 0 {
 					f.servers[c.hosts/2].Started = start
-					f.open[f.cold], f.sent = 0, nil
-					for _, b := range f.all {
+					f.openConnections[f.coldID], f.sentToCold = 0, nil
+					for _, b := range f.balancers {
 						b.Members(now, Delta, f.servers[c.hosts/2:c.hosts/2+1])
 					}
 				}
-				f.come(now, false)
-				for range int(lives.Seconds() / 3 / 2) {
-					if back {
-						f.come(now, true)
+				f.arrive(now, false)
+				for range int(meanLifetime.Seconds() / 3 / 2) {
+					if storm {
+						f.arrive(now, true)
 					}
 				}
 			}
-			for i, from := range f.sent {
+			for i, from := range f.sentToCold {
 				n := 0
-				for _, at := range f.sent[i:] {
+				for _, at := range f.sentToCold[i:] {
 					if at < from+set.OverloadSpan {
 						n++
 					}
 				}
 				warmth := set.ColdCapacityShare + (1-set.ColdCapacityShare)*(from-start).Seconds()/set.WarmAfter.Seconds()
-				may := set.OverloadFactor * fullest * warmth * set.OverloadSpan.Seconds() / lives.Seconds()
-				if windows++; float64(n) > may+2*math.Sqrt(may)+2 {
-					t.Errorf("%d balancers, seed %d, %v after its start: %d sent, N is %.1f", c.balancers, seed, from-start, n, may)
+				allowed := set.OverloadFactor * warmCapacity * warmth * set.OverloadSpan.Seconds() / meanLifetime.Seconds()
+				if windows++; float64(n) > allowed+2*math.Sqrt(allowed)+2 {
+					t.Errorf("%d balancers, seed %d, %v after its start: %d sent, N is %.1f", c.balancers, seed, from-start, n, allowed)
 				}
-				most = max(most, float64(n)/(may+2*math.Sqrt(may)+2))
+				maxRatio = max(maxRatio, float64(n)/(allowed+2*math.Sqrt(allowed)+2))
 			}
 		}
-		t.Logf("%d balancers: %d windows, at most %.2f of what it may be sent", c.balancers, windows, most)
+		t.Logf("%d balancers: %d windows, at most %.2f of the allowed number", c.balancers, windows, maxRatio)
 		if windows == 0 {
-			t.Errorf("%d balancers sent it nothing", c.balancers)
+			t.Errorf("%d balancers sent it no request", c.balancers)
 		}
 	}
 }
--- a/policy/lease_test.go
+++ b/policy/lease_test.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// While the list may be out of date new requests are held, and placed in order of their coming when it is told anew; the
-// client's time runs on.
+// Without a lease on the list new requests are held. They are placed in order of arrival once the lease is renewed, and
+// their deadlines do not change.
 func TestRequestsAreHeldWithoutALease(t *testing.T) {
 	b, h := newBalancer(t, fleet(10))
 	b.Lease(t0, t0)
@@ -14,19 +14,19 @@
 		b.Request(t0, Request{ID: id, Class: "safe", TTL: time.Second})
 	}
 	if sent := h.take("send"); len(sent) > 0 {
-		t.Fatalf("sent by a list that may be out of date: %v", sent)
+		t.Fatalf("sent without a lease: %v", sent)
 	}
 	b.Lease(t0+300*ms, never)
 	sent := h.take("send")
 	if len(sent) != 2 || sent[0].request != "a" || sent[1].request != "b" {
 		t.Fatalf("placed: %v", sent)
 	}
-	if most := 700 * ms; sent[0].d > most {
-		t.Errorf("an attempt may take %v, longer than the client waits", sent[0].d)
+	if limit := 700 * ms; sent[0].duration > limit {
+		t.Errorf("an attempt may take %v, longer than the client waits", sent[0].duration)
 	}
 }
 
-// Without a list a request is refused after half of its time, whatever its effect: it was never sent.
+// Without a lease a request is refused after half of its time whatever its effect, as it was never sent.
 func TestRequestsAreRefusedWithoutALease(t *testing.T) {
 	for _, class := range []string{"safe", "keyed", "unsafe"} {
 		b, h := newBalancer(t, fleet(10))
@@ -43,8 +43,8 @@
 	}
 }
 
-// A lease that ends takes effect by itself, also on attempts that are not written yet.
-func TestLeaseEndsByItself(t *testing.T) {
+// The end of a lease takes effect without an event, also for attempts that are not written yet.
+func TestLeaseEndsWithoutAnEvent(t *testing.T) {
 	b, h := newBalancer(t, fleet(10))
 	b.Lease(t0, t0+time.Second)
 	b.Request(t0, Request{ID: "a", Class: "safe", TTL: 4 * time.Second})
@@ -60,8 +60,8 @@
 	}
 }
 
-// Who never hears of leases goes by the list for ever, as in the simulator.
-func TestNoLeaseIsNoBound(t *testing.T) {
+// Without any lease the list may be used for ever, as in the simulator.
+func TestListWithoutALeaseDoesNotExpire(t *testing.T) {
 	b, h := newBalancer(t, fleet(10))
 	b.Request(t0+time.Hour, Request{ID: "a", Class: "safe", TTL: time.Second})
 	if len(h.take("send")) != 1 {
--- a/policy/limits_test.go
+++ b/policy/limits_test.go
@@ -15,8 +15,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// decides names the files that hold the decisions, as the deploy file does, and reads them as one text.
-func decides(t *testing.T) (names []string, text string) {
+// decisionSources returns the names of the files that hold the decisions according to the deploy file, and their joined
+// text.
+func decisionSources(t *testing.T) (names []string, text string) {
 	deploy, err := os.ReadFile("../deploy/balancer.toml")
 	require.NoError(t, err)
 	for _, name := range regexp.MustCompile(`"policy/(\w+\.go)"`).FindAllStringSubmatch(string(deploy), -1) {
@@ -27,12 +28,13 @@
 	return names, text
 }
 
-// longestFunction is how many lines a function of the module may have.
-const longestFunction = 60
+// maxFunctionLines is the maximum length of a function.
+const maxFunctionLines = 60
 
-// The module stays readable: short lines, short functions, files of one concern that the deploy file names.
+// The module stays readable: its lines, functions and files are short, and the deploy file names each file with
+// decisions.
 func TestModuleIsReadable(t *testing.T) {
-	names, text := decides(t)
+	names, text := decisionSources(t)
 	for _, line := range strings.Split(text, "\n") {
 		if line = strings.ReplaceAll(line, "\t", "    "); len(line) > 110 {
 			t.Errorf("line of %d characters: %s", len(line), line)
@@ -43,8 +45,8 @@
 		parsed, err := parser.ParseFile(files, name, nil, 0)
 		require.NoError(t, err)
 		for _, d := range parsed.Decls {
-			if n := files.Position(d.End()).Line - files.Position(d.Pos()).Line + 1; n > longestFunction {
-				t.Errorf("%s: a declaration of %d lines, at most %d", files.Position(d.Pos()), n, longestFunction)
+			if n := files.Position(d.End()).Line - files.Position(d.Pos()).Line + 1; n > maxFunctionLines {
+				t.Errorf("%s: a declaration of %d lines, at most %d", files.Position(d.Pos()), n, maxFunctionLines)
 			}
 		}
 	}
@@ -65,7 +67,8 @@
 	}
 }
 
-// Fleets as small as the smallest deployment and larger than the largest, warm or all cold.
+// benchmarkFleets runs a benchmark on fleets as small as the smallest deployment and larger than the largest, all warm
+// or all cold.
 func benchmarkFleets(b *testing.B, run func(b *testing.B, servers []Server)) {
 	for _, n := range []int{12, 110, 400} {
 		for _, started := range []time.Duration{0, t0} {
@@ -83,7 +86,7 @@
 		bal, h := newBalancer(b, servers)
 		for i := 0; b.Loop(); i++ {
 			id := "r" + string(rune('a'+i%26))
-			bal.Request(t0, req(id, uint64(i)))
+			bal.Request(t0, newRequest(id, uint64(i)))
 			bal.ConnectionEstablished(t0, id)
 			bal.Outcome(t0, id, OK, true)
 			bal.ClientGone(t0, id)
@@ -115,9 +118,9 @@
 	})
 }
 
-// The on-call page names each log line that the module writes, by its text up to the first figure or name.
+// The on-call page names each log line of the module by its text up to the first formatted value.
 func TestOnCallPageNamesEveryLogLine(t *testing.T) {
-	_, source := decides(t)
+	_, source := decisionSources(t)
 	page, err := os.ReadFile("../docs/oncall.md")
 	if err != nil {
 		t.Fatal(err)
--- a/policy/massnode_test.go
+++ b/policy/massnode_test.go
@@ -6,48 +6,49 @@
 	"time"
 )
 
-// massNode is a balancer of a massRun: the module under test, and what its carrier knows of the hosts.
-type massNode struct {
-	run    *massRun
-	module *Balancer
-	zone   string
-	lag    time.Duration            // a change of the list reaches it so late
-	told   map[string]time.Duration // when it was told that a host drains
-	asked  map[string]*massClient   // whose request it has not answered yet, by id
-	known  map[string]*massReport
-}
-
-// massReport is what a balancer knows of a host by its reports, as the carrier works it out.
-type massReport struct {
-	load    float64
-	at      time.Duration
-	backlog time.Duration // that must have piled up
-	askedAt time.Duration
-	slowAt  time.Duration // when the module was last told of the time of a message
-	dropped time.Duration // when the host last dropped a connection of ours
-	open    int           // our connections there
-}
-
-// How a carrier learns of hosts; see internal/net.
+// simBalancer is a balancer of a simulation: the module under test, and what its carrier knows of the hosts.
+type simBalancer struct {
+	run             *simulation
+	module          *Balancer
+	zone            string
+	listDelay       time.Duration            // time until a change of the list arrives
+	drainNotifiedAt map[string]time.Duration // when a drain of a host was notified
+	pending         map[string]*simClient    // clients by id of their unanswered request
+	reports         map[string]*simReport
+}
+
+// simReport is what the carrier of a balancer knows of a host from its reports.
+type simReport struct {
+	load            float64
+	at              time.Duration
+	backlog         time.Duration // estimated from the reports
+	probedAt        time.Duration
+	delayReportedAt time.Duration // when a message delay was last reported to the module
+	droppedAt       time.Duration // when the host last dropped a connection of this balancer
+	open            int           // connections of this balancer at the host
+}
+
+// Intervals and limits of a carrier; see internal/net.
 const (
-	believed   = 6 * time.Second // a report
-	lookEvery  = 250 * time.Millisecond
-	probeLimit = 75 * time.Millisecond
+	reportValidity = 6 * time.Second // how long a report may be used
+	checkInterval  = 250 * time.Millisecond
+	probeTimeout   = 75 * time.Millisecond
 )
 
-func (n *massNode) of(server string) *massReport {
-	r := n.known[server]
+// report returns what is known of a server and creates it if necessary.
+func (n *simBalancer) report(server string) *simReport {
+	r := n.reports[server]
 	if r == nil {
-		r = &massReport{}
-		n.known[server] = r
+		r = &simReport{}
+		n.reports[server] = r
 	}
 	return r
 }
 
-// learn takes a report: what was asked beyond what the host can do since the last one has piled up.
-func (r *massReport) learn(now time.Duration, load float64) {
+// add adds a report. The load beyond the capacity since the last report counts as backlog.
+func (r *simReport) add(now time.Duration, load float64) {
 	if r.at > 0 {
-		span := min(now-r.at, believed)
+		span := min(now-r.at, reportValidity)
 		if r.load < 1 && load > 1 {
 			span = time.Second
 		}
@@ -56,16 +57,16 @@
 	r.load, r.at = load, now
 }
 
-// expected is how long a message takes there, by the reports.
-func (r *massReport) expected(now time.Duration) time.Duration {
-	if r.at == 0 || now-r.at > believed {
+// expected returns how long a message is expected to take at the host by its reports.
+func (r *simReport) expected(now time.Duration) time.Duration {
+	if r.at == 0 || now-r.at > reportValidity {
 		return 0
 	}
 	return r.backlog + time.Duration(4*float64(ms)/(1-min(r.load, 0.9)))
 }
 
-// every is how often the carrier asks a host at which its connections stand.
-func (r *massReport) every() time.Duration {
+// probeInterval returns how often the carrier probes a host with connections.
+func (r *simReport) probeInterval() time.Duration {
 	switch {
 	case r.load >= 0.7 || r.backlog > 0:
 		return 500 * ms
@@ -75,144 +76,145 @@
 	return 3 * time.Second
 }
 
-// look asks the hosts at which its connections stand, where that is due, and tells the module of those where a message takes
-// over a third of the shortest aim.
-func (n *massNode) look() {
+// checkHosts probes the hosts with connections that are due, and reports to the module those where a message takes over
+// a third of the shortest target.
+func (n *simBalancer) checkHosts() {
 	now, third := n.run.now, n.module.settings.shortestMessageTarget/3
-	for _, id := range slices.Sorted(maps.Keys(n.known)) {
-		r, h := n.known[id], n.run.hosts[id]
-		if r.open > 0 && now-r.askedAt >= r.every() {
+	for _, id := range slices.Sorted(maps.Keys(n.reports)) {
+		r, h := n.reports[id], n.run.hosts[id]
+		if r.open > 0 && now-r.probedAt >= r.probeInterval() {
 			n.Probe(id)
 		}
 		took := r.expected(now)
-		if r.open > 0 && !h.down {
-			took = max(took, h.message(now))
+		if r.open > 0 && !h.stopped {
+			took = max(took, h.messageDelay(now))
 		}
-		if took > third && now-r.slowAt >= time.Second {
-			r.slowAt = now
+		if took > third && now-r.delayReportedAt >= time.Second {
+			r.delayReportedAt = now
 			n.module.ServerDelay(now, id, took)
 		}
 	}
 }
 
-// shed takes that a host has dropped a connection that stood. Where its report shows room it takes a second one to belie it.
-func (n *massNode) shed(server string) {
-	now, r := n.run.now, n.of(server)
-	room := r.at > 0 && now-r.at <= believed && r.load < 0.7
-	again := r.dropped > 0 && now-r.dropped <= time.Second
-	if r.dropped = now; room && !again {
+// connectionDropped is called when a host has dropped an established connection. If its report shows capacity left,
+// only a second drop within a second outweighs the report.
+func (n *simBalancer) connectionDropped(server string) {
+	now, r := n.run.now, n.report(server)
+	room := r.at > 0 && now-r.at <= reportValidity && r.load < 0.7
+	repeated := r.droppedAt > 0 && now-r.droppedAt <= time.Second
+	if r.droppedAt = now; room && !repeated {
 		return
 	}
-	r.load, r.at, r.backlog = max(r.load, 1), now, max(r.backlog, shedsAt)
-	if now-r.slowAt >= time.Second {
-		r.slowAt = now
+	r.load, r.at, r.backlog = max(r.load, 1), now, max(r.backlog, shedBacklog)
+	if now-r.delayReportedAt >= time.Second {
+		r.delayReportedAt = now
 		n.module.ServerDelay(now, server, r.expected(now))
 	}
 }
 
-// Probe has a host asked for its report, which tells how it was some time ago.
-func (n *massNode) Probe(server string) {
-	h, r := n.run.hosts[server], n.of(server)
-	r.askedAt = n.run.now
-	if h.down {
-		n.run.after(probeLimit, func() { n.module.ProbeResult(n.run.now, server, Report{}) })
+// Probe asks a host for its report, whose load is some time old.
+func (n *simBalancer) Probe(server string) {
+	h, r := n.run.hosts[server], n.report(server)
+	r.probedAt = n.run.now
+	if h.stopped {
+		n.run.after(probeTimeout, func() { n.module.ProbeResult(n.run.now, server, Report{}) })
 		return
 	}
-	n.run.after(2*n.away(h), func() {
+	n.run.after(2*n.roundTrip(h), func() {
 		now := n.run.now
-		r.learn(now, h.shown)
+		r.add(now, h.publishedLoad)
 		n.module.ProbeResult(now, server, Report{Answered: true, Load: r.load, Delay: r.expected(now)})
 	})
 }
 
-// away is how long it takes to the host and back.
-func (n *massNode) away(h *massHost) time.Duration {
+// roundTrip returns the time to the host and back.
+func (n *simBalancer) roundTrip(h *simHost) time.Duration {
 	if h.Zone == n.zone {
-		return nearTime
+		return sameZoneTime
 	}
-	return crossingTime
+	return crossZoneTime
 }
 
-// Send has an attempt made; it ends at the host, or when its time is up.
-func (n *massNode) Send(request, server string, timeout time.Duration) {
-	h, c, now := n.run.hosts[server], n.asked[request], n.run.now
-	if told, ok := n.told[server]; ok && now > told+n.module.settings.DrainGrace {
-		n.run.result.Late++
+// Send makes an attempt, which ends at the host or at its time-out.
+func (n *simBalancer) Send(request, server string, timeout time.Duration) {
+	h, c, now := n.run.hosts[server], n.pending[request], n.run.now
+	if notifiedAt, ok := n.drainNotifiedAt[server]; ok && now > notifiedAt+n.module.settings.DrainGrace {
+		n.run.result.SentAfterGrace++
 	}
-	if c == nil || c.out {
-		n.run.result.Unowed++
+	if c == nil || c.inFlight {
+		n.run.result.Unexpected++
 		return
 	}
-	c.out = true
+	c.inFlight = true
 	n.run.result.Attempts++
-	if !h.down && !h.draining {
-		n.run.received(h)
+	if !h.stopped && !h.draining {
+		n.run.hostReceives(h)
 	}
 	end := func(after time.Duration, result Result) {
 		n.run.after(min(after, timeout), func() {
-			c.out = false
+			c.inFlight = false
 			n.module.Outcome(n.run.now, request, result, false)
 		})
 	}
-	takes := 3*n.away(h) + h.message(now)
+	takes := 3*n.roundTrip(h) + h.messageDelay(now)
 	switch {
-	case h.down:
-		end(n.away(h), ConnectFailed)
-	case h.draining, h.full():
-		end(2*n.away(h), Rejected)
+	case h.stopped:
+		end(n.roundTrip(h), ConnectFailed)
+	case h.draining, h.isFull():
+		end(2*n.roundTrip(h), Rejected)
 	case takes >= timeout:
 		end(timeout, Timeout)
 	default:
-		n.run.after(takes, func() { n.up(c, h, request) })
+		n.run.after(takes, func() { n.completeSetup(c, h, request) })
 	}
 }
 
-// up has a connection stand, if its host still takes any.
-func (n *massNode) up(c *massClient, h *massHost, request string) {
-	c.out = false
-	if h.draining || h.down {
+// completeSetup establishes a connection if its host still accepts any.
+func (n *simBalancer) completeSetup(c *simClient, h *simHost, request string) {
+	c.inFlight = false
+	if h.draining || h.stopped {
 		n.module.Outcome(n.run.now, request, Rejected, false)
 		return
 	}
-	n.run.stand(c, n, h)
+	n.run.establish(c, n, h)
 	n.module.ConnectionEstablished(n.run.now, request)
 }
 
-// answered takes the client off the list of those who wait.
-func (n *massNode) answered(request string) *massClient {
-	c := n.asked[request]
-	if c == nil || c.out {
-		n.run.result.Unowed++
+// answered removes the client of an answered request from those pending.
+func (n *simBalancer) answered(request string) *simClient {
+	c := n.pending[request]
+	if c == nil || c.inFlight {
+		n.run.result.Unexpected++
 		return nil
 	}
-	delete(n.asked, request)
+	delete(n.pending, request)
 	return c
 }
 
-func (n *massNode) Refuse(request string, retryAfter time.Duration, _ Reason) {
+func (n *simBalancer) Refuse(request string, retryAfter time.Duration, _ Reason) {
 	if c := n.answered(request); c != nil {
 		n.run.refused(c, retryAfter)
 	}
 }
 
-func (n *massNode) Fail(request string) { n.Refuse(request, 0, NoServer) }
+func (n *simBalancer) Fail(request string) { n.Refuse(request, 0, NoServer) }
 
-// Move sends a client away, which is told to the module once it has ended what it does now.
-func (n *massNode) Move(request string) {
+// Move ends a client's connection, after the current call of the module has returned.
+func (n *simBalancer) Move(request string) {
 	n.run.after(0, func() {
-		if c := n.run.standing[request]; c != nil {
+		if c := n.run.established[request]; c != nil {
 			n.run.result.Moved++
-			n.run.fall(c, Cancelled)
+			n.run.breakOff(c, Cancelled)
 		}
 	})
 }
 
-func (n *massNode) Wake(at time.Duration, name int64) {
+func (n *simBalancer) Wake(at time.Duration, name int64) {
 	if name == timerWaiting {
 		n.run.after(at-n.run.now, func() { n.module.Wake(n.run.now, timerWaiting) })
 	}
 }
 
-func (n *massNode) NotifySiblings(uint32, time.Duration) {}
-func (n *massNode) Watch(bool)                           {}
-func (n *massNode) Log(string)                           {}
+func (n *simBalancer) NotifySiblings(uint32, time.Duration) {}
+func (n *simBalancer) Watch(bool)                           {}
+func (n *simBalancer) Log(string)                           {}
--- a/policy/massplan_test.go
+++ b/policy/massplan_test.go
@@ -7,67 +7,67 @@
 	"time"
 )
 
-// massPlan is a deployment and a release on it, in the figures of a site of long-lived sessions: the means of what it draws
-// from, and a seed. Loads are counted in mean connection loads.
-type massPlan struct {
-	seed                     uint64
-	balancers, hosts, groups int
-	wanted                   int           // connections that clients want at any time
-	plays                    time.Duration // from the start to the end
-	joinAt, joinFor          time.Duration // from when, and over which time, hosts are replaced
-	joinPart                 float64       // of all hosts
-	classes                  []massClass
-	kinds                    []massKind
-	retries                  float64 // after a refusal, on the mean
+// simPlan is a deployment with a release, in the figures of a site of long-lived sessions: the means of the values that
+// are drawn, and a seed. The unit of load is the mean load of a connection.
+type simPlan struct {
+	seed                      uint64
+	balancers, hosts, groups  int
+	connections               int           // wanted by clients at any time
+	duration                  time.Duration // of the simulation
+	releaseStart, releaseSpan time.Duration // when the replacement of hosts starts, and how long it takes
+	releaseShare              float64       // share of the hosts that are replaced
+	classes                   []simClass
+	machineTypes              []simMachineType
+	retries                   float64 // mean number after a refusal
 }
 
-// massClass is a class of clients.
-type massClass struct {
-	name       string
-	share      float64 // of all new clients
-	load, life float64 // of a connection, relative to the others
-	worth      float64
-	wait       time.Duration // a client waits so long for its connection
-	aim        time.Duration
-	messageAim time.Duration
+// simClass is a class of clients.
+type simClass struct {
+	name           string
+	share          float64 // of all new clients
+	load, lifetime float64 // of a connection, relative to the other classes
+	worth          float64
+	ttl            time.Duration // how long a client waits for its connection
+	setupTarget    time.Duration
+	messageTarget  time.Duration
 }
 
-// massKind is a kind of machine.
-type massKind struct {
-	name      string
-	speed     float64 // nominal, which is its weight on the list
-	spread    float64 // of the true speed about it
-	coldFrom  float64
-	warmAfter time.Duration
+// simMachineType is a type of machine.
+type simMachineType struct {
+	name              string
+	speed             float64 // nominal, which is its weight on the list
+	speedSigma        float64 // spread of the true speed, lognormal
+	coldCapacityShare float64
+	warmAfter         time.Duration
 }
 
-// What does not vary from one run to the next.
+// Constants that are the same in all runs.
 const (
-	groupCost    = 3.0  // mean loads that a group costs each host that holds any of it
-	groupZipf    = 1.0  // how unlike the sizes of groups are
-	coresTimes   = 2    // cores of a host
-	perCore      = 18.0 // mean loads that fill a core of speed 1
-	capTimes     = 2.6  // a host holds so many connections for each mean load that it can do
-	loadSigma    = 0.75 // of a connection's load, lognormal
-	swingSigma   = 0.5  // by which it changes about its mean, lognormal
-	swingEvery   = 12 * time.Second
-	lifeMean     = 38 * time.Second
-	crossingTime = 5 * time.Millisecond // there and back, to another zone
-	nearTime     = 200 * time.Microsecond
+	groupCost          = 3.0 // load that a group adds to each host with a connection of it
+	groupZipf          = 1.0 // exponent of the distribution of group sizes
+	coresPerHost       = 2
+	loadsPerCore       = 18.0 // load that fills a core of speed 1
+	connectionsPerLoad = 2.6  // maximum of connections of a host, per unit of its capacity
+	loadSigma          = 0.75 // of a connection's mean load, lognormal
+	loadChangeSigma    = 0.5  // of its changes about that mean, lognormal
+	loadChangeInterval = 12 * time.Second
+	meanClientTime     = 38 * time.Second
+	crossZoneTime      = 5 * time.Millisecond // round trip to another zone
+	sameZoneTime       = 200 * time.Microsecond
 )
 
-// massDay is a join release under 300 balancers, as on plan-norte.
-func massDay(seed uint64, balancers int) massPlan {
-	return massPlan{
-		seed: seed, balancers: balancers, hosts: 83, groups: 58, wanted: 1550,
-		plays: 25 * time.Second, joinAt: 4 * time.Second, joinFor: 7 * time.Second, joinPart: 0.6,
-		classes: []massClass{
+// releaseDay returns a release in which hosts join, under a fleet of balancers, as on plan-norte.
+func releaseDay(seed uint64, balancers int) simPlan {
+	return simPlan{
+		seed: seed, balancers: balancers, hosts: 83, groups: 58, connections: 1550,
+		duration: 25 * time.Second, releaseStart: 4 * time.Second, releaseSpan: 7 * time.Second, releaseShare: 0.6,
+		classes: []simClass{
 			{"plan-diario", 0.32, 1, 1, 1, 4800 * ms, 800 * ms, 60 * ms},
 			{"serie-hecha", 0.25, 0.35, 2, 1, 3000 * ms, 500 * ms, 100 * ms},
 			{"ajuste-plan", 0.24, 0.35, 0.65, 2, 3200 * ms, 800 * ms, 250 * ms},
 			{"informe-alta", 0.19, 0.35, 0.65, 2, 4800 * ms, 800 * ms, 60 * ms},
 		},
-		kinds: []massKind{
+		machineTypes: []simMachineType{
 			{"nuevo", 1.5, 0.14, 0.23, 16 * time.Second},
 			{"antiguo", 0.97, 0.14, 0.3, 17500 * ms},
 		},
@@ -75,45 +75,46 @@
 	}
 }
 
-// settings are what the balancer of a zone is told: of the kinds the coldest start and the longest way to warm.
-func (p massPlan) settings(zone string) Settings {
+// settings returns the settings of the balancers of a zone. Of the machine types they have the lowest cold capacity
+// share and the longest warm-up.
+func (p simPlan) settings(zone string) Settings {
 	set := settings()
 	set.MaxAttempts, set.Siblings, set.Probes, set.Tick = 5, p.balancers, true, 4*ms
 	set.DrainGrace, set.OverloadFactor, set.OverloadSpan = 500*ms, 4, time.Second
 	set.ColdCapacityShare, set.WarmAfter = 1, 0
-	for _, k := range p.kinds {
-		set.ColdCapacityShare, set.WarmAfter = min(set.ColdCapacityShare, k.coldFrom), max(set.WarmAfter, k.warmAfter)
+	for _, k := range p.machineTypes {
+		set.ColdCapacityShare, set.WarmAfter = min(set.ColdCapacityShare, k.coldCapacityShare), max(set.WarmAfter, k.warmAfter)
 	}
 	set.Zone, set.CrossZoneCost, set.Classes = zone, 0.1, map[string]Class{}
 	for _, c := range p.classes {
-		set.Classes[c.name] = Class{SetupTarget: c.aim, MessageTarget: c.messageAim}
+		set.Classes[c.name] = Class{SetupTarget: c.setupTarget, MessageTarget: c.messageTarget}
 	}
 	return set
 }
 
-// lasts is how long a new client stays on the mean.
-func (p massPlan) lasts() time.Duration {
+// meanLifetime returns how long a new client stays on average.
+func (p simPlan) meanLifetime() time.Duration {
 	sum := 0.0
 	for _, c := range p.classes {
-		sum += c.share * c.life
+		sum += c.share * c.lifetime
 	}
-	return time.Duration(sum * float64(lifeMean))
+	return time.Duration(sum * float64(meanClientTime))
 }
 
-// unit is the mean of the classes' relative loads over all that stands at a time.
-func (p massPlan) unit() float64 {
-	load, standing := 0.0, 0.0
+// meanLoad returns the mean of the classes' relative loads over all connections at a time.
+func (p simPlan) meanLoad() float64 {
+	load, connections := 0.0, 0.0
 	for _, c := range p.classes {
-		load, standing = load+c.share*c.life*c.load, standing+c.share*c.life
+		load, connections = load+c.share*c.lifetime*c.load, connections+c.share*c.lifetime
 	}
-	return load / standing
+	return load / connections
 }
 
-// class draws the class of a new client, or of one of those that stand at a time.
-func (p massPlan) class(rng *rand.Rand, standing bool) massClass {
-	weight := func(c massClass) float64 {
-		if standing {
-			return c.share * c.life
+// drawClass draws the class of a new client, or of one of those connected at a time.
+func (p simPlan) drawClass(rng *rand.Rand, established bool) simClass {
+	weight := func(c simClass) float64 {
+		if established {
+			return c.share * c.lifetime
 		}
 		return c.share
 	}
@@ -130,8 +131,8 @@
 	return p.classes[0]
 }
 
-// group draws the group of a client: the nth one has a share of 1/n^groupZipf.
-func (p massPlan) group(rng *rand.Rand) uint64 {
+// drawGroup draws the group of a client. The share of the nth group is proportional to 1/n^groupZipf.
+func (p simPlan) drawGroup(rng *rand.Rand) uint64 {
 	sum := 0.0
 	for g := range p.groups {
 		sum += math.Pow(float64(g+1), -groupZipf)
@@ -145,35 +146,37 @@
 	return p.seed * 1000003
 }
 
-// massZones are the zones, with the share of the clients in each.
-var massZones = []struct {
+// simZones are the zones with their shares of the clients.
+var simZones = []struct {
 	name  string
 	share float64
 }{{"oviedo", 0.42}, {"santander", 0.33}, {"bilbao", 0.25}}
 
-func massZone(rng *rand.Rand) string {
+// drawZone draws the zone of a client or balancer.
+func drawZone(rng *rand.Rand) string {
 	left := rng.Float64()
-	for _, z := range massZones {
+	for _, z := range simZones {
 		if left -= z.share; left < 0 {
 			return z.name
 		}
 	}
-	return massZones[0].name
+	return simZones[0].name
 }
 
-// newHost makes the nth host that ever started, of the kind and in the zone of its place among the others.
-func (p massPlan) newHost(rng *rand.Rand, n, place int, started time.Duration) *massHost {
-	kind, zone := p.kinds[place%len(p.kinds)], massZones[place%len(massZones)].name
-	speed := kind.speed * math.Exp(kind.spread*rng.NormFloat64())
-	return &massHost{
+// newHost returns the nth host started, with the machine type and zone of its position.
+func (p simPlan) newHost(rng *rand.Rand, n, place int, started time.Duration) *simHost {
+	kind, zone := p.machineTypes[place%len(p.machineTypes)], simZones[place%len(simZones)].name
+	speed := kind.speed * math.Exp(kind.speedSigma*rng.NormFloat64())
+	return &simHost{
 		Server: Server{ID: fmt.Sprintf("s-%x", uint32(n+1)*2654435761), Zone: zone, Kind: kind.name, State: Ready,
 			Weight: kind.speed, Started: started},
-		capacity: perCore * coresTimes * speed, coldFrom: kind.coldFrom, warmAfter: kind.warmAfter, place: place,
-		groups: map[uint64]int{},
-		period: between(rng, 46*ms, 250*ms), late: between(rng, 48*ms, 130*ms),
+		capacity: loadsPerCore * coresPerHost * speed, coldCapacityShare: kind.coldCapacityShare, warmAfter: kind.warmAfter, position: place,
+		groups:         map[uint64]int{},
+		reportInterval: between(rng, 46*ms, 250*ms), reportDelay: between(rng, 48*ms, 130*ms),
 	}
 }
 
+// between draws a time.
 func between(rng *rand.Rand, low, high time.Duration) time.Duration {
 	return low + time.Duration(rng.Int64N(int64(high-low)))
 }
--- a/policy/massrun_test.go
+++ b/policy/massrun_test.go
@@ -8,192 +8,196 @@
 	"time"
 )
 
-// massRun plays hundreds of balancers, their hosts and clients on one clock. One seed gives one run.
-type massRun struct {
-	plan     massPlan
-	rng      *rand.Rand
-	now      time.Duration
-	events   massEvents
-	order    int // of events
-	serial   int // of requests
-	all      []*massNode
-	nodes    map[string][]*massNode // by zone
-	parts    []float64              // of what comes to a zone, summed up
-	hosts    map[string]*massHost
-	started  []*massHost // all, in order of their start
-	clients  []*massClient
-	standing map[string]*massClient // by request
-	second   massSecond             // the one that is under way
-	result   massResult
-}
-
-// massEvent is what happens at a time; those of one time follow each other as they were made.
-type massEvent struct {
+// simulation plays hundreds of balancers with their hosts and clients in virtual time. Runs with the same seed are the
+// same.
+type simulation struct {
+	plan             simPlan
+	rng              *rand.Rand
+	now              time.Duration
+	events           simEvents
+	eventCount       int // orders events of the same time
+	requestCount     int
+	balancers        []*simBalancer
+	balancersByZone  map[string][]*simBalancer
+	cumulativeShares []float64 // of the clients of a zone, by balancer
+	hosts            map[string]*simHost
+	allHosts         []*simHost // all that ever started, in order of their start
+	clients          []*simClient
+	established      map[string]*simClient // by request
+	second           simSecond             // the second under way
+	result           simResult
+}
+
+// simEvent is an action at a time. Events of the same time run in the order of their creation.
+type simEvent struct {
 	at    time.Duration
 	order int
 	do    func()
 }
 
-type massEvents []massEvent
+type simEvents []simEvent
 
-func (e massEvents) Len() int { return len(e) }
-func (e massEvents) Less(i, j int) bool {
+func (e simEvents) Len() int { return len(e) }
+func (e simEvents) Less(i, j int) bool {
 	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
 }
-func (e massEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
-func (e *massEvents) Push(x any)   { *e = append(*e, x.(massEvent)) }
-func (e *massEvents) Pop() any {
+func (e simEvents) Swap(i, j int) { e[i], e[j] = e[j], e[i] }
+func (e *simEvents) Push(x any)   { *e = append(*e, x.(simEvent)) }
+func (e *simEvents) Pop() any {
 	last := (*e)[len(*e)-1]
 	*e = (*e)[:len(*e)-1]
 	return last
 }
 
-// after has something done after a span, or next where that is over.
-func (f *massRun) after(span time.Duration, do func()) {
-	f.order++
-	heap.Push(&f.events, massEvent{f.now + max(span, 0), f.order, do})
+// after schedules an action after a span, or as the next one if the span is not positive.
+func (f *simulation) after(span time.Duration, do func()) {
+	f.eventCount++
+	heap.Push(&f.events, simEvent{f.now + max(span, 0), f.eventCount, do})
 }
 
-// each has something done once in each span.
-func (f *massRun) each(span, first time.Duration, do func()) {
+// every runs an action repeatedly.
+func (f *simulation) every(span, first time.Duration, do func()) {
 	f.after(first, func() {
 		do()
-		f.each(span, span, do)
+		f.every(span, span, do)
 	})
 }
 
-// playMass plays a plan to its end.
-func playMass(plan massPlan) massResult {
-	f := &massRun{plan: plan, now: t0, rng: rand.New(rand.NewPCG(plan.seed, 1)), hosts: map[string]*massHost{},
-		nodes: map[string][]*massNode{}, standing: map[string]*massClient{}}
+// runSimulation plays a plan to its end.
+func runSimulation(plan simPlan) simResult {
+	f := &simulation{plan: plan, now: t0, rng: rand.New(rand.NewPCG(plan.seed, 1)), hosts: map[string]*simHost{},
+		balancersByZone: map[string][]*simBalancer{}, established: map[string]*simClient{}}
 	var list []Server
 	for i := range plan.hosts {
-		list = append(list, f.start(i, 0).Server)
+		list = append(list, f.startHost(i, 0).Server)
 	}
 	for i := range plan.balancers {
-		f.addNode(i, list)
+		f.addBalancer(i, list)
 	}
-	for i := range f.all {
+	for i := range f.balancers {
 		last := 0.0
 		if i > 0 {
-			last = f.parts[i-1]
+			last = f.cumulativeShares[i-1]
 		}
-		f.parts = append(f.parts, last+1/math.Sqrt(float64(i+1)))
+		f.cumulativeShares = append(f.cumulativeShares, last+1/math.Sqrt(float64(i+1)))
 	}
-	f.settle()
-	f.arrive()
-	f.each(hostTick, hostTick, f.work)
-	f.each(sampleEvery, sampleEvery, f.sample)
+	f.placeInitialClients()
+	f.scheduleArrivals()
+	f.every(hostInterval, hostInterval, f.runHosts)
+	f.every(sampleInterval, sampleInterval, f.sample)
 	f.release()
-	for end := t0 + plan.plays; f.now <= end; {
-		e := heap.Pop(&f.events).(massEvent)
+	for end := t0 + plan.duration; f.now <= end; {
+		e := heap.Pop(&f.events).(simEvent)
 		f.now = e.at
 		e.do()
 	}
 	return f.result
 }
 
-func (f *massRun) addNode(i int, list []Server) {
-	zone := massZones[i%len(massZones)].name
-	n := &massNode{run: f, zone: zone, lag: between(f.rng, 300*ms, 2500*ms), told: map[string]time.Duration{},
-		asked: map[string]*massClient{}, known: map[string]*massReport{}}
+// addBalancer starts a balancer with a list.
+func (f *simulation) addBalancer(i int, list []Server) {
+	zone := simZones[i%len(simZones)].name
+	n := &simBalancer{run: f, zone: zone, listDelay: between(f.rng, 300*ms, 2500*ms), drainNotifiedAt: map[string]time.Duration{},
+		pending: map[string]*simClient{}, reports: map[string]*simReport{}}
 	n.module = New(f.plan.settings(zone), f.plan.seed*7919+uint64(i), n)
 	n.module.Members(t0, Full, list)
-	f.all, f.nodes[zone] = append(f.all, n), append(f.nodes[zone], n)
-	f.each(lookEvery, between(f.rng, 0, lookEvery), n.look)
+	f.balancers, f.balancersByZone[zone] = append(f.balancers, n), append(f.balancersByZone[zone], n)
+	f.every(checkInterval, between(f.rng, 0, checkInterval), n.checkHosts)
 }
 
-// start has a host start, which reports from then on.
-func (f *massRun) start(place int, started time.Duration) *massHost {
-	h := f.plan.newHost(f.rng, len(f.started), place, started)
-	f.hosts[h.ID], f.started = h, append(f.started, h)
-	f.each(h.period, between(f.rng, 0, h.period), func() {
+// startHost starts a host, which reports its load from then on.
+func (f *simulation) startHost(place int, started time.Duration) *simHost {
+	h := f.plan.newHost(f.rng, len(f.allHosts), place, started)
+	f.hosts[h.ID], f.allHosts = h, append(f.allHosts, h)
+	f.every(h.reportInterval, between(f.rng, 0, h.reportInterval), func() {
 		load := h.load(f.now)
-		f.after(h.late, func() { h.shown = load })
+		f.after(h.reportDelay, func() { h.publishedLoad = load })
 	})
 	return h
 }
 
-func (f *massRun) capacity() (sum float64) {
-	for _, h := range f.started {
+// capacity returns the summed capacity of all hosts.
+func (f *simulation) capacity() (sum float64) {
+	for _, h := range f.allHosts {
 		sum += h.capacity
 	}
 	return sum
 }
 
-// arrive has new clients come, as many as leave.
-func (f *massRun) arrive() {
-	mean := float64(f.plan.lasts()) / float64(f.plan.wanted)
+// scheduleArrivals makes new clients arrive at the rate at which clients leave.
+func (f *simulation) scheduleArrivals() {
+	mean := float64(f.plan.meanLifetime()) / float64(f.plan.connections)
 	f.after(time.Duration(f.rng.ExpFloat64()*mean), func() {
-		f.come(f.newClient(false))
-		f.arrive()
+		f.connect(f.newClient(false))
+		f.scheduleArrivals()
 	})
 }
 
 const (
-	hostTick    = 50 * time.Millisecond
-	sampleEvery = 100 * time.Millisecond
+	hostInterval   = 50 * time.Millisecond
+	sampleInterval = 100 * time.Millisecond
 )
 
-// work has a span pass at all hosts.
-func (f *massRun) work() {
-	for _, h := range f.started {
-		if c := h.work(f.now, hostTick); c != nil {
-			n := c.node
+// runHosts passes a span of time at all hosts.
+func (f *simulation) runHosts() {
+	for _, h := range f.allHosts {
+		if c := h.advance(f.now, hostInterval); c != nil {
+			n := c.balancer
 			f.second.Shed++
-			f.fall(c, Reset)
-			n.shed(h.ID)
+			f.breakOff(c, Reset)
+			n.connectionDropped(h.ID)
 		}
 	}
 }
 
-// received has a host get a request, under which a cold one may fall.
-func (f *massRun) received(h *massHost) {
-	over := h.receive(f.now, f.all[0].module.settings, f.plan.lasts())
-	f.second.ColdMost, f.second.ColdSent = max(f.second.ColdMost, len(h.sent)), max(f.second.ColdSent, over)
-	if over > 1 && !h.down {
-		f.result.Felled++
-		h.down = true
-		f.after(0, func() { f.sendAway(h, Reset) }) // danger: now would enter a module that is at work
+// hostReceives counts a request at a host. A cold host may fail under it.
+func (f *simulation) hostReceives(h *simHost) {
+	ratio := h.receive(f.now, f.balancers[0].module.settings, f.plan.meanLifetime())
+	f.second.ColdMax, f.second.ColdRatio = max(f.second.ColdMax, len(h.sentWhileCold)), max(f.second.ColdRatio, ratio)
+	if ratio > 1 && !h.stopped {
+		f.result.FailedHosts++
+		h.stopped = true
+		// later, as the module must not be called from within one of its calls
+		f.after(0, func() { f.endConnections(h, Reset) })
 	}
 }
 
-// sendAway ends all connections that stand at a host.
-func (f *massRun) sendAway(h *massHost, result Result) {
+// endConnections ends all connections at a host.
+func (f *simulation) endConnections(h *simHost, result Result) {
 	for _, c := range slices.Clone(h.clients) {
-		f.fall(c, result)
+		f.breakOff(c, result)
 	}
 }
 
-// tell has all balancers hear of a change of the list, each after its own time.
-func (f *massRun) tell(s Server) {
-	for _, n := range f.all {
-		f.after(n.lag, func() {
-			if _, before := n.told[s.ID]; s.State == Draining && !before {
-				n.told[s.ID] = f.now
+// publish delivers a change of the list to all balancers, to each after its delay.
+func (f *simulation) publish(s Server) {
+	for _, n := range f.balancers {
+		f.after(n.listDelay, func() {
+			if _, before := n.drainNotifiedAt[s.ID]; s.State == Draining && !before {
+				n.drainNotifiedAt[s.ID] = f.now
 			}
 			n.module.Members(f.now, Delta, []Server{s})
 		})
 	}
 }
 
-// release replaces a part of the hosts, one after the other.
-func (f *massRun) release() {
-	places := f.rng.Perm(f.plan.hosts)[:int(f.plan.joinPart*float64(f.plan.hosts))]
+// release replaces a share of the hosts one after the other.
+func (f *simulation) release() {
+	places := f.rng.Perm(f.plan.hosts)[:int(f.plan.releaseShare*float64(f.plan.hosts))]
 	for i, place := range places {
-		at := f.plan.joinAt + f.plan.joinFor*time.Duration(i)/time.Duration(len(places))
-		f.after(at, func() { f.replace(f.started[place]) })
+		at := f.plan.releaseStart + f.plan.releaseSpan*time.Duration(i)/time.Duration(len(places))
+		f.after(at, func() { f.replaceHost(f.allHosts[place]) })
 	}
 }
 
-// replace has a host drain, which sends its clients away at once, and leave; another starts in its place.
-func (f *massRun) replace(h *massHost) {
+// replaceHost makes a host drain, which ends its connections at once, and leave. Another one starts in its position.
+func (f *simulation) replaceHost(h *simHost) {
 	h.draining, h.State = true, Draining
-	f.tell(h.Server)
-	f.sendAway(h, Cancelled)
+	f.publish(h.Server)
+	f.endConnections(h, Cancelled)
 	f.after(4*time.Second, func() {
-		h.down, h.State = true, Gone
-		f.tell(h.Server)
+		h.stopped, h.State = true, Gone
+		f.publish(h.Server)
 	})
-	f.after(between(f.rng, 520*ms, 2300*ms), func() { f.tell(f.start(h.place, f.now).Server) })
+	f.after(between(f.rng, 520*ms, 2300*ms), func() { f.publish(f.startHost(h.position, f.now).Server) })
 }
--- a/policy/outlier_test.go
+++ b/policy/outlier_test.go
@@ -6,52 +6,52 @@
 	"time"
 )
 
-func TestSilentServerIsSuspectedAndCleared(t *testing.T) {
+func TestSilentServerIsEjectedAndReadmitted(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
-	top := ids(b, 3)
-	send(t, b, h, t0, req("r", 3))
+	top := rankedIDs(b, 3)
+	sendRequest(t, b, h, t0, newRequest("r", 3))
 	b.Outcome(t0+time.Second, "r", Timeout, false)
 	now := t0 + time.Second
-	if got := h.take("send"); len(got) != 1 || got[0].server == top[0] || got[0].d > time.Second {
+	if got := h.take("send"); len(got) != 1 || got[0].server == top[0] || got[0].duration > time.Second {
 		t.Fatalf("after the time-out: %v", got)
 	}
 	b.ConnectionEstablished(now, "r")
 	s := b.servers[top[0]]
 	if b.passOver(now, &request{}, s) != ejected {
-		t.Fatal("not suspect after a set-up without an answer")
+		t.Fatal("not ejected after a set-up without an answer")
 	}
 	if now = s.ejectedUntil; now < t0+time.Second+settings().Classes["safe"].SetupTarget/2 {
 		t.Errorf("passed over for only %v", now-t0-time.Second)
 	}
-	if got := send(t, b, h, now, req("test", 3)); got != top[0] {
-		t.Fatalf("after the doubt a connection went to %s", got)
+	if got := sendRequest(t, b, h, now, newRequest("test", 3)); got != top[0] {
+		t.Fatalf("after the ejection a connection went to %s", got)
 	}
 	b.eject(now, s)
 	b.ConnectionEstablished(now+ms, "test")
 	if b.passOver(now+ms, &request{}, s) != eligible {
-		t.Error("still passed over after one stood")
+		t.Error("still passed over after a connection was established")
 	}
 }
 
-func TestDoubtDoublesWithRepeats(t *testing.T) {
+func TestEjectionTimeGrowsWithRepeats(t *testing.T) {
 	b, _ := newBalancer(t, fleet(3))
 	s, last, now := b.list[0], time.Duration(0), t0
 	for range 3 {
 		b.eject(now, s)
 		if span := s.ejectedUntil - now; span <= last {
-			t.Fatalf("doubt of %v after %v", span, last)
+			t.Fatalf("ejection of %v after one of %v", span, last)
 		} else {
 			last, now = span, s.ejectedUntil+ms
 		}
 	}
 }
 
-// whileOverloaded tells where 4000 requests went, and how many were refused.
-func whileOverloaded(b *Balancer, h *fakeHost) (seen map[string]bool, refused int) {
+// placeMany places 4000 requests and returns the servers used and how many were refused.
+func placeMany(b *Balancer, h *fakeHost) (seen map[string]bool, refused int) {
 	seen = map[string]bool{}
 	for i := range 4000 {
 		h.actions = nil
-		b.Request(t0+ms, req(fmt.Sprint("r", i), uint64(i)))
+		b.Request(t0+ms, newRequest(fmt.Sprint("r", i), uint64(i)))
 		for _, a := range h.actions {
 			switch a.name {
 			case "send":
@@ -64,27 +64,28 @@
 	return seen, refused
 }
 
-// What most of the fleet fails at tells nothing of its servers: the load must not fall on the few others. And so
-// large a part of it is refused.
-func TestDoubtOfMostOfTheFleetYields(t *testing.T) {
+// If most of the fleet fails, ejections are ignored, as the load must not concentrate on the few other servers, and a
+// large part of the load is refused.
+func TestEjectionsAreIgnoredWhenMostOfTheFleetFails(t *testing.T) {
 	b, h := newBalancer(t, fleet(5))
 	for _, s := range b.list[:4] {
 		b.eject(t0, s)
 	}
-	seen, refused := whileOverloaded(b, h)
+	seen, refused := placeMany(b, h)
 	if len(seen) < 4 {
-		t.Errorf("all load fell on the rest: %v", seen)
+		t.Errorf("all load went to the rest: %v", seen)
 	}
 	if refused < 3800 || refused == 4000 { // all but the cube of a third
 		t.Errorf("%d of 4000 refused", refused)
 	}
-	mid := req("mid", 1)
+	mid := newRequest("mid", 1)
 	mid.MidFlow = true
-	send(t, b, h, t0+ms, mid) // never refused: its connection stands
+	sendRequest(t, b, h, t0+ms, mid) // never refused, as its connection is established
 }
 
-// In a fleet that is slow as a whole a client that is held misses its time and comes again.
-func TestMostOfTheFleetSlowPlacesAtOnce(t *testing.T) {
+// If the whole fleet is slow, requests are placed at once: a held request would miss its deadline and its client would
+// come again.
+func TestRequestsArePlacedAtOnceWhenTheFleetIsSlow(t *testing.T) {
 	b, h := newBalancer(t, fleet(5))
 	for i, s := range b.list {
 		if i < 3 {
@@ -93,16 +94,17 @@
 			s.State = Draining
 		}
 	}
-	if seen, refused := whileOverloaded(b, h); len(seen) != 3 || refused < 3650 || refused == 4000 { // all but the cube of two fifths
+	// all but the cube of two fifths are refused
+	if seen, refused := placeMany(b, h); len(seen) != 3 || refused < 3650 || refused == 4000 {
 		t.Errorf("placed on %v, want the three that are slow and do not drain; %d of 4000 refused", seen, refused)
 	}
 	if b.surveyHealth(t0 + 3*time.Second); b.shedProbability() > 0 {
-		t.Error("overloaded long after the last word of it")
+		t.Error("overloaded long after the last report of it")
 	}
 }
 
-// A store that every set-up calls is overrun: each attempt fails at once, whatever the server.
-func TestRefusalsSpareAStoreThatFails(t *testing.T) {
+// A store that every set-up calls is overloaded: all attempts fail at once, whatever the server.
+func TestSheddingProtectsAFailingStore(t *testing.T) {
 	b, h := newBalancer(t, fleet(8))
 	now, sends := t0, 0
 	var out []action
@@ -111,7 +113,7 @@
 		for _, a := range out {
 			b.Outcome(now, a.request, Error, false)
 		}
-		b.Request(now, req(fmt.Sprint("r", i), uint64(i)*31))
+		b.Request(now, newRequest(fmt.Sprint("r", i), uint64(i)*31))
 		b.Wake(now, timerWaiting)
 		out = h.take("send")
 		sends += len(out)
@@ -125,73 +127,75 @@
 		for _, a := range out {
 			b.ConnectionEstablished(now, a.request)
 		}
-		b.Request(now, req(fmt.Sprint("s", i), uint64(i)*31))
+		b.Request(now, newRequest(fmt.Sprint("s", i), uint64(i)*31))
 		b.Wake(now, timerWaiting)
 		if out = h.take("send"); i >= 1900 {
 			served += len(out)
 		}
 	}
 	if served < 95 || len(b.waiting) != 0 {
-		t.Errorf("%d of the last 100 sent, %d held though set-ups stand again", served, len(b.waiting))
+		t.Errorf("%d of the last 100 sent, %d held though set-ups succeed again", served, len(b.waiting))
 	}
 }
 
-func crowd(t *testing.T, b *Balancer, h *fakeHost, key uint64, n int) *server {
+// crowdTopServer establishes n connections of a key and returns its top server.
+func crowdTopServer(t *testing.T, b *Balancer, h *fakeHost, key uint64, n int) *server {
 	t.Helper()
 	for i := range n {
 		id := fmt.Sprint("c", i)
-		send(t, b, h, t0, req(id, key))
+		sendRequest(t, b, h, t0, newRequest(id, key))
 		b.ConnectionEstablished(t0, id)
 	}
-	return b.servers[ids(b, key)[0]]
+	return b.servers[rankedIDs(b, key)[0]]
 }
 
-func TestCrowdedServerIsPassedOverAndRelieved(t *testing.T) {
+func TestConnectionsAreMovedFromACrowdedServer(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
-	s := crowd(t, b, h, 3, 20)
-	b.ConnectionMetric(t0, "c2", MetricLoad, 9000) // of no use here
+	s := crowdTopServer(t, b, h, 3, 20)
+	b.ConnectionMetric(t0, "c2", MetricLoad, 9000) // not used
 	if len(h.take("move")) != 0 {
-		t.Fatal("moved for a note of load")
+		t.Fatal("moved for a load metric")
 	}
 	b.ConnectionMetric(t0+ms, "c0", MetricDelay, 400)
 	moves := h.take("move")
 	if len(moves) == 0 || len(moves) > 5 {
 		t.Fatalf("moves: %v, want a few", moves)
 	}
-	if got := send(t, b, h, t0+2*ms, req("new", 3)); got == s.ID {
+	if got := sendRequest(t, b, h, t0+2*ms, newRequest("new", 3)); got == s.ID {
 		t.Error("a crowded server got a new connection")
 	}
 	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 20)
 	if now := s.ejectedUntil; now > t0+2*time.Second || b.passOver(now, &request{}, s) != eligible {
-		t.Error("passed over though it is back under and the doubt has passed")
+		t.Error("passed over though its delay is short again and the ejection has ended")
 	}
 }
 
-func TestDrainingBacklogIsNotCutFurther(t *testing.T) {
+func TestNoMovesWhileTheBacklogShrinks(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
-	crowd(t, b, h, 3, 20)
+	crowdTopServer(t, b, h, 3, 20)
 	b.ConnectionMetric(t0, "c0", MetricDelay, 900)
 	h.actions = nil
 	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 400)
 	if moves := h.take("move"); len(moves) > 0 {
-		t.Errorf("%d moves though the backlog drains", len(moves))
+		t.Errorf("%d moves though the backlog shrinks", len(moves))
 	}
 }
 
-func TestDelayThatGrowsASecondASecondIsSilence(t *testing.T) {
+func TestDelayThatGrowsAtTheRateOfTimeEjects(t *testing.T) {
 	b, h := newBalancer(t, fleet(6))
-	s := crowd(t, b, h, 3, 8)
+	s := crowdTopServer(t, b, h, 3, 8)
 	b.ConnectionMetric(t0, "c0", MetricDelay, 3000)
 	b.ConnectionMetric(t0+time.Second, "c0", MetricDelay, 4000)
 	if s.ejectedUntil <= t0+time.Second {
-		t.Error("a server that does nothing is not suspect")
+		t.Error("a server that processes nothing is not ejected")
 	}
 }
 
-// A server that drops its newest connections is crowded, not silent: its resets alone raise no doubt.
-func TestResetOfAStandingConnectionIsNoDoubt(t *testing.T) {
+// A server that drops its newest connections is crowded, not silent, so resets of established connections alone do not
+// eject it.
+func TestResetOfAnEstablishedConnectionDoesNotEject(t *testing.T) {
 	b, h := newBalancer(t, fleet(4))
-	s := b.servers[send(t, b, h, t0, req("r", 3))]
+	s := b.servers[sendRequest(t, b, h, t0, newRequest("r", 3))]
 	b.ConnectionEstablished(t0, "r")
 	b.Outcome(t0+ms, "r", Reset, true)
 	if t0+ms < s.ejectedUntil {
@@ -199,17 +203,17 @@
 	}
 }
 
-// A server that drops all it is sent holds nothing of ours; a delay told of it keeps new connections away.
-func TestDelayAtAServerThatHoldsNothing(t *testing.T) {
+// A server that drops all connections holds none of ours. A delay reported of it still keeps new connections away.
+func TestDelayAtAServerWithoutConnections(t *testing.T) {
 	b, h := newBalancer(t, fleet(5))
-	top := send(t, b, h, t0, req("a", 7))
+	top := sendRequest(t, b, h, t0, newRequest("a", 7))
 	b.ConnectionEstablished(t0, "a")
 	b.Outcome(t0, "a", Reset, true)
 	b.ServerDelay(t0, top, time.Second)
 	b.ServerDelay(t0, "unheard-of", time.Second)
 	for i := range 8 {
 		id := fmt.Sprint("r", i)
-		if got := send(t, b, h, t0+ms, req(id, 7)); got == top {
+		if got := sendRequest(t, b, h, t0+ms, newRequest(id, 7)); got == top {
 			t.Errorf("%s went to %s", id, got)
 		}
 	}
--- a/policy/ranking_test.go
+++ b/policy/ranking_test.go
@@ -8,8 +8,7 @@
 	"testing"
 )
 
-// Worked out by hand from 3.1 and 3.2: 'a' is 97; "ab" is 97 + (97<<19) + 98; 1 + 0x62531965 rotated by
-// 21.
+// Computed by hand from sections 3.1 and 3.2: 'a' is 97; "ab" is 97 + (97<<19) + 98; 1 + 0x62531965 rotated by 21.
 func TestHashVectors(t *testing.T) {
 	for text, want := range map[string]uint32{"": 0, "a": 97, "ab": 50856131} {
 		if got := carpHash(text); got != want {
@@ -17,12 +16,11 @@
 		}
 	}
 	if got := carpMix(1); got != 0x2CCC4A63 {
-		t.Errorf("spread(1) = %#x, want 0x2CCC4A63", got)
+		t.Errorf("carpMix(1) = %#x, want 0x2CCC4A63", got)
 	}
 }
 
-// Worked out by hand from 3.3: for shares 1/4 and 3/4, X_1 = sqrt(1/2) and X_2 = (1/2)/X_1 + X_1 =
-// sqrt(2).
+// Computed by hand from section 3.3: for shares 1/4 and 3/4, X_1 = sqrt(1/2) and X_2 = (1/2)/X_1 + X_1 = sqrt(2).
 func TestMultiplierVectors(t *testing.T) {
 	for _, c := range []struct{ weights, want []float64 }{
 		{[]float64{5}, []float64{1}},
@@ -51,7 +49,7 @@
 	const keys = 60000
 	rng := rand.New(rand.NewPCG(5, 5))
 	for range keys {
-		counts[ids(b, rng.Uint64N(1<<53))[0]]++
+		counts[rankedIDs(b, rng.Uint64N(1<<53))[0]]++
 	}
 	for _, s := range servers {
 		want := keys * s.Weight / 9
@@ -61,14 +59,15 @@
 	}
 }
 
-// The pairs of top scores are even too, as the choice between two spreads load over them.
+// The pairs of top servers are evenly distributed too, as choosing the less occupied of the two distributes the load
+// over them.
 func TestRealisedPairs(t *testing.T) {
 	b, _ := newBalancer(t, fleet(6))
 	pairs := map[[2]string]int{}
 	const keys = 60000
 	rng := rand.New(rand.NewPCG(6, 6))
 	for range keys {
-		r := ids(b, rng.Uint64N(1<<53))
+		r := rankedIDs(b, rng.Uint64N(1<<53))
 		pairs[[2]string{r[0], r[1]}]++
 	}
 	for pair, got := range pairs {
@@ -90,16 +89,16 @@
 	slices.Reverse(backwards)
 	other.Members(t0, Cached, backwards)
 	for i := range 50 {
-		send(t, a, h, t0, req(fmt.Sprint("r", i), uint64(i)))
+		sendRequest(t, a, h, t0, newRequest(fmt.Sprint("r", i), uint64(i)))
 	}
 	for key := range uint64(200) {
-		if x, y := ids(a, key), ids(other, key); !slices.Equal(x, y) || len(x) != 9 {
+		if x, y := rankedIDs(a, key), rankedIDs(other, key); !slices.Equal(x, y) || len(x) != 9 {
 			t.Fatalf("key %d ranks as %v and as %v", key, x, y)
 		}
 	}
 }
 
-func TestUnusableWeightsAreSane(t *testing.T) {
+func TestUnusableWeightsGiveFiniteMultipliers(t *testing.T) {
 	servers := fleet(5)
 	for i, w := range []float64{0, -3, math.NaN(), math.Inf(1), 2} {
 		servers[i].Weight = w
