--- a/policy/api.go
+++ b/policy/api.go
@@ -20,9 +20,9 @@
 type Scope int
 
 const (
-	ScopeAll Scope = iota
-	ScopeZone
-	ScopeCell
+	ScopeAll  Scope = iota // all servers
+	ScopeZone              // the servers of a zone
+	ScopeCell              // the servers of a cell
 )
 
 // Class holds the latency targets and the repeat rules of a class of requests.
@@ -69,9 +69,9 @@
 type State int
 
 const (
-	Gone State = iota
-	Ready
-	Draining
+	Gone     State = iota // out of service
+	Ready                 // takes requests
+	Draining              // about to leave; must get no new requests
 )
 
 // Server is one entry of the list of servers.
@@ -119,14 +119,14 @@
 type Result int
 
 const (
-	OK Result = iota
-	Error
-	Rejected // the server refused the request without looking at it
-	Timeout
-	ConnectFailed
-	Reset
-	Cancelled
-	NotSent // the attempt was never written
+	OK            Result = iota // the connection ended normally
+	Error                       // the server answered with an error
+	Rejected                    // the server refused the request without looking at it
+	Timeout                     // no answer within the time-out
+	ConnectFailed               // no connection to the server
+	Reset                       // the connection broke
+	Cancelled                   // ended by a move, the client or the balancer
+	NotSent                     // the attempt was never written
 )
 
 // MetricKind is the meaning of a measurement on an open connection.
@@ -168,15 +168,23 @@
 // Host carries out the actions of a Balancer. Requests and servers are identified by their ids; an attempt is
 // identified by its request, which has at most one at a time.
 type Host interface {
+	// Send starts an attempt at a server. It ends with Balancer.Outcome, at the latest after the time-out unless
+	// the connection has been established.
 	Send(request, server string, timeout time.Duration)
+	// Refuse gives the final answer that the client may retry after a time.
 	Refuse(request string, retryAfter time.Duration, why Reason)
+	// Fail gives the final answer that the request has failed.
 	Fail(request string)
+	// Move asks the client of an established connection to reconnect, and ends the connection.
 	Move(request string)
 	// NotifySiblings sends all siblings the message delay of a server, identified by its hash in the ranking.
 	NotifySiblings(server uint32, delay time.Duration)
 	// Probe asks a server for a report. Balancer.ProbeResult receives the report, or that there was none.
 	Probe(server string)
+	// Wake sets a timer, which calls Balancer.Wake with its name.
 	Wake(at time.Duration, name int64)
+	// Watch opens or closes the watch on the list of servers.
 	Watch(on bool)
+	// Log writes a line to the log.
 	Log(text string)
 }
