--- a/policy/list.go
+++ b/policy/list.go
@@ -85,7 +85,7 @@
 const (
 	// goneMemory is how long a server that is gone is remembered, where gone servers are usable.
 	goneMemory = 10 * time.Minute
-	// goneMemoryHalving is a number of known servers; each time that so many are known, goneMemory is halved.
+	// goneMemoryHalving is how many known servers halve goneMemory once.
 	goneMemoryHalving = 1024
 )
 
