--- a/internal/request/answers.go
+++ b/internal/request/answers.go
@@ -1,39 +1,40 @@
 package request
 
-type final int
+// outcome is the kind of a request's final answer.
+type outcome int
 
 const (
-	completed final = iota
+	completed outcome = iota
 	rejected
 	failed
 )
 
-// answered notes the one final answer of a request; all come by here, so that each is counted once.
-func (t *Table) answered(req *request, how final) {
+// recordAnswer records the final answer of a request. Every final answer passes through here, so each is counted once.
+func (t *Table) recordAnswer(req *request, kind outcome) {
 	req.answered = true
-	t.counted(req.class, how)
+	t.countOutcome(req.class, kind)
 }
 
-func (t *Table) counted(class string, how final) {
-	e := t.ends[class]
-	switch how {
+func (t *Table) countOutcome(class string, kind outcome) {
+	counts := t.outcomes[class]
+	switch kind {
 	case completed:
-		e.Completed++
+		counts.Completed++
 	case rejected:
-		e.Rejected++
+		counts.Rejected++
 	case failed:
-		e.Failed++
+		counts.Failed++
 	}
-	t.ends[class] = e
+	t.outcomes[class] = counts
 }
 
-// CountRejected tells that the carrier refused a client's request which it did not give in.
-func (t *Table) CountRejected(class string) { t.counted(class, rejected) }
+// CountRejected counts a request that the transport refused without submitting it.
+func (t *Table) CountRejected(class string) { t.countOutcome(class, rejected) }
 
-// CountUnknownClass tells that a client asked for a class that the settings do not name. Where they did once, it counts:
-// the client learned of the change by failing.
+// CountUnknownClass counts a request for a class that is not configured, if the class has been in use before: such a
+// client learns of the changed settings only by this failure.
 func (t *Table) CountUnknownClass(class string) {
-	if _, ok := t.ends[class]; ok {
-		t.counted(class, failed)
+	if _, ok := t.outcomes[class]; ok {
+		t.countOutcome(class, failed)
 	}
 }
--- a/internal/request/attempt.go
+++ b/internal/request/attempt.go
@@ -8,98 +8,101 @@
 	"tealtiller/policy"
 )
 
-// ErrNoDescriptors tells that the carrier had no means to begin an attempt.
-var ErrNoDescriptors = errors.New("no descriptor for an attempt")
+// ErrNoDescriptors is returned by Transport.Begin when no file descriptor is left for another attempt.
+var ErrNoDescriptors = errors.New("no file descriptor left for an attempt")
 
-func (t *Table) begin(req *request, server string, timeout time.Duration) {
-	until := t.now + timeout
-	req.out = true
-	t.count.Add("attempts sent")
-	req.until = t.deadlines.Set(until, func(now time.Duration) { t.overdue(now, req) })
-	if err := t.carrier.Begin(req.owner, server, until); err != nil {
+// beginAttempt starts an attempt. If it cannot be started, its outcome is queued.
+func (t *Table) beginAttempt(req *request, server string, timeout time.Duration) {
+	expiry := t.now + timeout
+	req.attemptOpen = true
+	t.counts.Add("attempts sent")
+	req.attemptDeadline = t.deadlines.Set(expiry, func(now time.Duration) { t.attemptTimedOut(now, req) })
+	if err := t.transport.Begin(req.owner, server, expiry); err != nil {
 		result := policy.ConnectFailed
 		if errors.Is(err, ErrNoDescriptors) {
 			result = policy.NotSent
 		}
-		t.queue = append(t.queue, func(time.Duration) { t.ended(req, result) })
+		t.pendingOutcomes = append(t.pendingOutcomes, func(time.Duration) { t.endAttempt(req, result) })
 	}
 }
 
-// MayWrite tells whether the attempt that is out may be written now: the one gate, just before its first byte is. Else it
-// tells what came of the attempt. Danger: the connection took its time to come up, and meanwhile the client went, the desk
-// host was told to drain, or the time in which a repeat does no harm has passed.
+// MayWrite reports whether the open attempt may be written now. It is the only check before the first byte is written.
+// If the attempt may not be written, result is how it ended. The check is needed because connecting takes time:
+// meanwhile the client may have left, the desk host may have begun to drain, or the window in which a repeat is
+// harmless may be over.
 func (t *Table) MayWrite(now time.Duration, id slot.ID, until time.Duration, clientGone func() bool) (result policy.Result, ok bool) {
 	switch {
-	case now >= until: // its deadline is due, and has not run yet
+	case now >= until: // the deadline has passed, but its callback has not run yet
 		return policy.ConnectFailed, false
 	case clientGone():
-		t.count.Add("attempts not written: client gone")
-	case !t.allows(now, id):
-		t.count.Add("attempts not written: no longer allowed")
+		t.counts.Add("attempts not written: client gone")
+	case !t.attemptAllowed(now, id):
+		t.counts.Add("attempts not written: no longer allowed")
 	default:
 		return 0, true
 	}
 	return policy.NotSent, false
 }
 
-func (t *Table) allows(now time.Duration, id slot.ID) bool {
+func (t *Table) attemptAllowed(now time.Duration, id slot.ID) bool {
 	req, ok := t.requests.Get(id)
-	return ok && req.out && !req.answered && (req.handed || t.module.MayWrite(now, req.name))
+	return ok && req.attemptOpen && !req.answered && (req.midFlow || t.module.MayWrite(now, req.moduleID))
 }
 
-// Established tells that the attempt has brought up the connection.
+// Established records that the open attempt has established its connection.
 func (t *Table) Established(now time.Duration, id slot.ID) {
 	req, ok := t.requests.Get(id)
-	if !ok || !req.out || req.stands {
+	if !ok || !req.attemptOpen || req.established {
 		return
 	}
 	t.now = now
-	t.deadlines.Stop(req.until)
-	req.stands = true
-	t.answered(req, completed)
-	t.module.ConnectionEstablished(now, req.name)
-	t.settle()
+	t.deadlines.Stop(req.attemptDeadline)
+	req.established = true
+	t.recordAnswer(req, completed)
+	t.module.ConnectionEstablished(now, req.moduleID)
+	t.deliverOutcomes()
 }
 
-// overdue gives up an attempt that has not brought up the connection in its time.
-func (t *Table) overdue(now time.Duration, req *request) {
-	if !req.out || req.stands {
+// attemptTimedOut abandons an attempt that has not established its connection by its deadline.
+func (t *Table) attemptTimedOut(now time.Duration, req *request) {
+	if !req.attemptOpen || req.established {
 		return
 	}
 	t.now = now
-	result := policy.ConnectFailed // not sent yet: it cannot have run
-	if t.carrier.Abandon(req.owner) {
+	result := policy.ConnectFailed // an attempt that was not sent cannot have run
+	if t.transport.Abandon(req.owner) {
 		result = policy.Timeout
 	}
-	t.ended(req, result)
-	t.settle()
+	t.endAttempt(req, result)
+	t.deliverOutcomes()
 }
 
-// ResultNames are the names of how attempts and connections end.
+// ResultNames holds the name of each result of an attempt or a connection, as counters and the log show it.
 var ResultNames = map[policy.Result]string{policy.OK: "ok", policy.Error: "error", policy.Rejected: "busy",
 	policy.Timeout: "timeout", policy.ConnectFailed: "connect failed", policy.Reset: "reset",
 	policy.Cancelled: "cancelled", policy.NotSent: "moot"}
 
-// ended tells the module the one outcome of an attempt.
-func (t *Table) ended(req *request, result policy.Result) {
-	if !req.out {
+// endAttempt closes the open attempt, or the connection that it established, and reports its outcome to the module
+// once.
+func (t *Table) endAttempt(req *request, result policy.Result) {
+	if !req.attemptOpen {
 		return
 	}
-	t.deadlines.Stop(req.until)
-	req.out = false
-	if req.stands {
-		t.count.Add("connections ended: " + ResultNames[result])
+	t.deadlines.Stop(req.attemptDeadline)
+	req.attemptOpen = false
+	if req.established {
+		t.counts.Add("connections ended: " + ResultNames[result])
 	} else {
-		t.count.Add("attempts ended: " + ResultNames[result])
+		t.counts.Add("attempts ended: " + ResultNames[result])
 	}
-	over := req.answered || result == policy.OK
-	if !over && req.handed { // no other host can go on with it
-		over = true
-		t.answered(req, failed)
-		t.carrier.Failed(req.owner)
+	finished := req.answered || result == policy.OK
+	if !finished && req.midFlow { // no other host can continue the connection
+		finished = true
+		t.recordAnswer(req, failed)
+		t.transport.Failed(req.owner)
 	}
-	if over {
+	if finished {
 		t.remove(req)
 	}
-	t.module.Outcome(t.now, req.name, result, over)
+	t.module.Outcome(t.now, req.moduleID, result, finished)
 }
--- a/internal/request/host.go
+++ b/internal/request/host.go
@@ -6,62 +6,64 @@
 	"tealtiller/policy"
 )
 
-// host carries out the module's actions. Its methods do not call the module.
-type host struct{ *Table }
+// moduleHost is the policy.Host through which the module acts on a Table. The module is not re-entrant, so these
+// methods never call it directly: outcomes are queued in pendingOutcomes.
+type moduleHost struct{ *Table }
 
-func (h host) Send(name, server string, timeout time.Duration) {
-	req := h.find(name)
-	if req == nil || req.out || req.answered {
-		// Danger: two attempts in flight. The module is owed an outcome all the same.
-		h.queue = append(h.queue, func(now time.Duration) {
-			h.module.Outcome(now, name, policy.NotSent, req == nil || req.answered)
+func (h moduleHost) Send(id, server string, timeout time.Duration) {
+	req := h.findByModuleID(id)
+	if req == nil || req.attemptOpen || req.answered {
+		// Sending now would put two attempts in flight for one request. The module still expects an outcome.
+		h.pendingOutcomes = append(h.pendingOutcomes, func(now time.Duration) {
+			h.module.Outcome(now, id, policy.NotSent, req == nil || req.answered)
 		})
 		return
 	}
-	h.begin(req, server, timeout)
+	h.beginAttempt(req, server, timeout)
 }
 
-func (h host) Refuse(name string, retryAfter time.Duration, why policy.Reason) {
-	h.answer(name, rejected, func(req *request) { h.carrier.Busy(req.owner, retryAfter, why) })
+func (h moduleHost) Refuse(id string, retryAfter time.Duration, why policy.Reason) {
+	h.finish(id, rejected, func(req *request) { h.transport.Busy(req.owner, retryAfter, why) })
 }
 
-func (h host) Fail(name string) {
-	h.answer(name, failed, func(req *request) { h.carrier.Failed(req.owner) })
+func (h moduleHost) Fail(id string) {
+	h.finish(id, failed, func(req *request) { h.transport.Failed(req.owner) })
 }
 
-func (h host) answer(name string, how final, say func(*request)) {
-	if req := h.find(name); req != nil && !req.answered {
-		h.answered(req, how)
-		say(req)
-		if !req.out {
+// finish records and sends the final answer of a request, unless it has one.
+func (h moduleHost) finish(id string, kind outcome, send func(*request)) {
+	if req := h.findByModuleID(id); req != nil && !req.answered {
+		h.recordAnswer(req, kind)
+		send(req)
+		if !req.attemptOpen {
 			h.remove(req)
 		}
 	}
 }
 
-func (h host) Move(name string) {
-	req := h.find(name)
-	if req == nil || !req.stands || !req.out {
+func (h moduleHost) Move(id string) {
+	req := h.findByModuleID(id)
+	if req == nil || !req.established || !req.attemptOpen {
 		return
 	}
-	h.carrier.Move(req.owner)
-	h.queue = append(h.queue, func(time.Duration) { h.ended(req, policy.Cancelled) })
+	h.transport.Move(req.owner)
+	h.pendingOutcomes = append(h.pendingOutcomes, func(time.Duration) { h.endAttempt(req, policy.Cancelled) })
 }
 
-// NotifySiblings has nobody to tell: these balancers have no way to talk to each other.
-func (h host) NotifySiblings(uint32, time.Duration) {}
+// NotifySiblings does nothing: these balancers have no connections to each other.
+func (h moduleHost) NotifySiblings(uint32, time.Duration) {}
 
-// Probe has the carrier ask a server for a report.
-func (h host) Probe(server string) { h.carrier.Ask(server) }
+// Probe requests a load report from a server.
+func (h moduleHost) Probe(server string) { h.transport.Ask(server) }
 
-func (h host) Wake(at time.Duration, name int64) {
+func (h moduleHost) Wake(at time.Duration, id int64) {
 	h.deadlines.Set(at, func(now time.Duration) {
 		h.now = now
-		h.module.Wake(now, name)
-		h.settle()
+		h.module.Wake(now, id)
+		h.deliverOutcomes()
 	})
 }
 
-func (h host) Watch(on bool) { h.carrier.Watch(on) }
+func (h moduleHost) Watch(on bool) { h.transport.Watch(on) }
 
-func (h host) Log(text string) { h.carrier.Log(text) }
+func (h moduleHost) Log(text string) { h.transport.Log(text) }
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -1,6 +1,6 @@
-// Package request holds the clients' requests for a connection, and their attempts, each at one host. It carries the
-// module's actions to whatever stands before and behind it, and tells the module what came of them. It knows no
-// sockets and no protocol.
+// Package request tracks the clients' requests for a connection and their attempts, each at one host. It passes the
+// module's actions on to the transport and reports their outcomes to the module. It is independent of sockets and of
+// the protocol.
 package request
 
 import (
@@ -14,34 +14,36 @@
 	"tealtiller/policy"
 )
 
-// Transport is the protocol's side. Owner is the number under which it gave a request in. None of its
-// methods may call the table: what comes of them is told later.
+// Transport acts on the clients' and the hosts' connections. Owner is the id that it passed when it submitted the
+// request. None of its methods may call the table: their results are reported later.
 type Transport interface {
-	// Begin starts an attempt at a host, which is given up at a time. An error means that nothing
-	// was begun; with ErrNoRoom the host is not to blame.
+	// Begin starts an attempt at a host, to be abandoned at until. An error means that no attempt was started; with
+	// ErrNoDescriptors the host is not the cause.
 	Begin(owner slot.ID, server string, until time.Duration) error
-	// Abandon ends the attempt that is out; sent tells whether it may have run.
+	// Abandon ends the open attempt; sent reports whether it may have run.
 	Abandon(owner slot.ID) (sent bool)
-	// Busy and Failed are final answers.
+	// Busy and Failed send a final answer to the client.
 	Busy(owner slot.ID, retryAfter time.Duration, why policy.Reason)
 	Failed(owner slot.ID)
-	// Move sends the client of a standing connection away and ends both sides.
+	// Move asks the client of an established connection to reconnect, and closes both sides.
 	Move(owner slot.ID)
-	// Ask asks a server for a report; Reported tells what came of it.
+	// Ask requests a load report from a server; the result is passed to the table later.
 	Ask(server string)
+	// Watch turns the watch on the host list on or off.
 	Watch(on bool)
+	// Log writes a message of the module to the log.
 	Log(text string)
 }
 
-// Module decides: one policy.Balancer, or several behind one face. It acts through the policy.Host that it was made
-// with, and none of its methods is called while another one is at work.
+// Module makes the balancing decisions: one policy.Balancer, or several behind the same interface. It acts through the
+// policy.Host that it was created with. None of its methods is called while another one is running.
 type Module interface {
 	ApplySettings(policy.Settings)
 	Members(now time.Duration, kind policy.MembersKind, entries []policy.Server)
 	Lease(now, until time.Duration)
 	ServerCounts(now time.Duration) (listed, avoided int)
-	Request(now time.Duration, q policy.Request)
-	Inherit(now time.Duration, q policy.Request, server string)
+	Request(now time.Duration, request policy.Request)
+	Inherit(now time.Duration, request policy.Request, server string)
 	MayWrite(now time.Duration, id string) bool
 	ConnectionEstablished(now time.Duration, id string)
 	Outcome(now time.Duration, id string, result policy.Result, over bool)
@@ -55,88 +57,88 @@
 
 // Table holds all requests of a balancer.
 type Table struct {
-	carrier   Transport
-	module    Module
-	deadlines *deadline.Queue
-	count     counters.Set
-	requests  slot.Table[*request]
-	open      map[string]slot.ID // by the client's id
-	ends      map[string]counters.Outcomes
-	queue     []func(now time.Duration)
-	now       time.Duration
+	transport       Transport
+	module          Module
+	deadlines       *deadline.Queue
+	counts          counters.Set
+	requests        slot.Table[*request]
+	openByClientID  map[string]slot.ID           // requests that have a client's id
+	outcomes        map[string]counters.Outcomes // by class
+	pendingOutcomes []func(now time.Duration)    // outcomes of the module's own actions, not yet delivered to it
+	now             time.Duration                // the time of the current event
 }
 
 type request struct {
-	id       slot.ID
-	name     string // as the module knows it
-	client   string // as the client calls it; empty where it has no id
-	class    string // as it was when taken
-	owner    slot.ID
-	out      bool // an attempt is out
-	stands   bool
-	answered bool // nothing more is owed: answered, or the client left
-	handed   bool // it stood before this balancer started
-	until    *deadline.Deadline
-}
-
-// New makes an empty table with a module that starts from nothing.
-func New(module func(policy.Host) Module, carrier Transport, q *deadline.Queue, count counters.Set) *Table {
-	t := &Table{carrier: carrier, deadlines: q, count: count, open: map[string]slot.ID{},
-		ends: map[string]counters.Outcomes{}}
-	t.module = module(host{t})
+	id              slot.ID
+	moduleID        string // the id that the module uses
+	clientID        string // the id that the client sent; empty if it sent none
+	class           string // its class when it was submitted
+	owner           slot.ID
+	attemptOpen     bool // an attempt, or the connection that it established, is open
+	established     bool
+	answered        bool // no answer is due any more: it was sent, or the client left
+	midFlow         bool // its connection was established before this balancer started
+	attemptDeadline *deadline.Deadline
+}
+
+// New returns an empty table and creates its module.
+func New(newModule func(policy.Host) Module, transport Transport, deadlines *deadline.Queue, counts counters.Set) *Table {
+	t := &Table{transport: transport, deadlines: deadlines, counts: counts, openByClientID: map[string]slot.ID{},
+		outcomes: map[string]counters.Outcomes{}}
+	t.module = newModule(moduleHost{t})
 	return t
 }
 
-// CallModule carries out what the module has asked for in a call that its owner made past the table.
+// CallModule runs a call that the module's owner makes to it directly, then delivers the outcomes of its actions.
 func (t *Table) CallModule(now time.Duration, call func()) {
 	t.now = now
 	call()
-	t.settle()
+	t.deliverOutcomes()
 }
 
-// Reconfigure has the module go on by other settings.
+// Reconfigure passes new settings to the module.
 func (t *Table) Reconfigure(set policy.Settings) { t.module.ApplySettings(set) }
 
-// Len is how many requests there are, standing connections included.
+// Len returns the number of requests, established connections included.
 func (t *Table) Len() int { return t.requests.Len() }
 
-// AnswerCounts counts the final answers by class, also of classes that are no longer in use.
-func (t *Table) AnswerCounts() map[string]counters.Outcomes { return maps.Clone(t.ends) }
+// AnswerCounts returns the number of final answers of each kind by class, including classes no longer configured.
+func (t *Table) AnswerCounts() map[string]counters.Outcomes { return maps.Clone(t.outcomes) }
 
-// MemberCounts is how many servers the list names, and how many of them the module avoids now.
+// MemberCounts returns how many servers the host list contains, and how many of them the module avoids now.
 func (t *Table) MemberCounts(now time.Duration) (listed, avoided int) {
 	return t.module.ServerCounts(now)
 }
 
-// Unanswered is how many requests still wait for their final answer.
+// Unanswered returns the number of requests that still wait for their final answer.
 func (t *Table) Unanswered() (n int) {
 	for _, req := range t.requests.All() {
-		if !req.stands && !req.answered {
+		if !req.established && !req.answered {
 			n++
 		}
 	}
 	return n
 }
 
-// IsOpen tells whether a request of this client's id is open. Danger: another client that sends the same id
-// would have the desk hosts refuse what they already hold, and be taken to be ill for it.
-func (t *Table) IsOpen(client string) bool {
-	_, ok := t.open[client]
+// IsOpen reports whether a request with this client id is open. Callers check it because the desk hosts refuse a second
+// request with an id that they already hold, and the module would take such refusals for faults of the hosts.
+func (t *Table) IsOpen(clientID string) bool {
+	_, ok := t.openByClientID[clientID]
 	return ok
 }
 
-func (t *Table) add(owner slot.ID, q policy.Request) *request {
-	req := &request{owner: owner, client: q.ID, class: q.Class}
+func (t *Table) add(owner slot.ID, incoming policy.Request) *request {
+	req := &request{owner: owner, clientID: incoming.ID, class: incoming.Class}
 	req.id = t.requests.Add(req)
-	if q.ID != "" {
-		t.open[q.ID] = req.id
+	if incoming.ID != "" {
+		t.openByClientID[incoming.ID] = req.id
 	}
-	req.name = strconv.FormatUint(uint64(req.id), 16)
+	req.moduleID = strconv.FormatUint(uint64(req.id), 16)
 	return req
 }
 
-func (t *Table) find(name string) *request {
-	id, err := strconv.ParseUint(name, 16, 64)
+func (t *Table) findByModuleID(moduleID string) *request {
+	id, err := strconv.ParseUint(moduleID, 16, 64)
 	if err != nil {
 		return nil
 	}
@@ -144,34 +146,34 @@
 	return req
 }
 
-// Submit takes a client's request, under the client's own id, which must not be open; what the module does with
-// it is carried out before this returns.
-func (t *Table) Submit(now time.Duration, owner slot.ID, q policy.Request) slot.ID {
-	req := t.add(owner, q)
-	q.ID, t.now = req.name, now
-	t.module.Request(now, q)
-	t.settle()
+// Submit adds a client's request under the client's own id, which must not be open. It carries out the module's actions
+// on the request before it returns the request's id.
+func (t *Table) Submit(now time.Duration, owner slot.ID, incoming policy.Request) slot.ID {
+	req := t.add(owner, incoming)
+	incoming.ID, t.now = req.moduleID, now
+	t.module.Request(now, incoming)
+	t.deliverOutcomes()
 	return req.id
 }
 
-// AttemptEnded tells how the attempt that was out has ended, or the connection that it brought up.
+// AttemptEnded records how the open attempt, or the connection that it established, has ended.
 func (t *Table) AttemptEnded(now time.Duration, id slot.ID, result policy.Result) {
-	if req, ok := t.requests.Get(id); ok && req.out {
+	if req, ok := t.requests.Get(id); ok && req.attemptOpen {
 		t.now = now
-		t.ended(req, result)
-		t.settle()
+		t.endAttempt(req, result)
+		t.deliverOutcomes()
 	}
 }
 
-// ProtocolError tells that the client broke the protocol, for which the carrier has answered it.
+// ProtocolError records that the client violated the protocol; the transport has already sent it an answer.
 func (t *Table) ProtocolError(now time.Duration, id slot.ID) {
 	if req, ok := t.requests.Get(id); ok && !req.answered {
-		t.counted(req.class, failed)
+		t.countOutcome(req.class, failed)
 	}
 	t.ClientLeft(now, id)
 }
 
-// ClientLeft tells that the client has gone. A connection that stood has ended with it.
+// ClientLeft records that the client has disconnected. An established connection has ended with it.
 func (t *Table) ClientLeft(now time.Duration, id slot.ID) {
 	req, ok := t.requests.Get(id)
 	if !ok {
@@ -180,68 +182,68 @@
 	t.now = now
 	if !req.answered {
 		req.answered = true
-		t.module.ClientGone(now, req.name)
+		t.module.ClientGone(now, req.moduleID)
 	}
-	if req.out {
-		if !req.stands {
-			t.carrier.Abandon(req.owner)
+	if req.attemptOpen {
+		if !req.established {
+			t.transport.Abandon(req.owner)
 		}
-		t.ended(req, policy.Cancelled)
+		t.endAttempt(req, policy.Cancelled)
 	} else {
 		t.remove(req)
 	}
-	t.settle()
+	t.deliverOutcomes()
 }
 
-// Note tells of a standing connection.
+// Note passes a measurement of an established connection to the module.
 func (t *Table) Note(now time.Duration, id slot.ID, kind policy.MetricKind, level float64) {
 	if req, ok := t.requests.Get(id); ok {
 		t.now = now
-		t.module.ConnectionMetric(now, req.name, kind, level)
-		t.settle()
+		t.module.ConnectionMetric(now, req.moduleID, kind, level)
+		t.deliverOutcomes()
 	}
 }
 
-// ObserveDelay tells how long a message takes now at a server.
+// ObserveDelay passes on how long a message currently takes at a server.
 func (t *Table) ObserveDelay(now time.Duration, server string, delay time.Duration) {
 	t.now = now
 	t.module.ServerDelay(now, server, delay)
-	t.settle()
+	t.deliverOutcomes()
 }
 
-// Reported tells what a server's report lets expect of a message's time, or that it gave none.
+// Reported passes on a server's load report, or that a server has not answered the request for one.
 func (t *Table) Reported(now time.Duration, server string, report policy.Report) {
 	t.now = now
 	t.module.ProbeResult(now, server, report)
-	t.settle()
+	t.deliverOutcomes()
 }
 
-// UpdateMembers tells what is new of the host list.
+// UpdateMembers passes a change of the host list to the module.
 func (t *Table) UpdateMembers(now time.Duration, kind policy.MembersKind, entries []policy.Server) {
 	t.now = now
 	t.module.Members(now, kind, entries)
-	t.settle()
+	t.deliverOutcomes()
 }
 
-// SetLease tells until when the host list may be used.
+// SetLease passes on until when the host list may be used.
 func (t *Table) SetLease(now, until time.Duration) {
 	t.now = now
 	t.module.Lease(now, until)
-	t.settle()
+	t.deliverOutcomes()
 }
 
-// settle tells the module the outcomes that its own actions had. Danger: telling them inside the action
-// would enter the module while it is at work.
-func (t *Table) settle() {
-	for len(t.queue) > 0 {
-		next := t.queue[0]
-		t.queue = t.queue[1:]
+// deliverOutcomes reports the outcomes of the module's own actions to it. They are queued until the module has
+// returned, because reporting them within the action would re-enter the module.
+func (t *Table) deliverOutcomes() {
+	for len(t.pendingOutcomes) > 0 {
+		next := t.pendingOutcomes[0]
+		t.pendingOutcomes = t.pendingOutcomes[1:]
 		next(t.now)
 	}
 }
 
 func (t *Table) remove(req *request) {
-	t.deadlines.Stop(req.until)
+	t.deadlines.Stop(req.attemptDeadline)
 	t.requests.Remove(req.id)
-	delete(t.open, req.client)
+	delete(t.openByClientID, req.clientID)
 }
