--- a/internal/discovery/client.go
+++ b/internal/discovery/client.go
@@ -10,125 +10,129 @@
 	"time"
 )
 
-// Session is what is held of one discovery's list, whatever the connections on which it was told.
+// Session is the state of the host list of one discovery service, across all connections to it.
 type Session struct {
 	host     string
 	revision int64
-	newest   int64 // that this discovery has told, and that a list must not be older than
+	newest   int64 // the newest revision received from this discovery; older lists are rejected
 }
 
-// Exchange is one call and its answer on a connection. Calls on one follow one another.
+// Exchange is one call on a connection and its answer. The calls on a connection use it one after the other.
 type Exchange struct {
-	whole      bool // the call asks for the whole list
-	superseded bool // another call was made after it, whose answer may have come before
-	buf        []byte
-	length     int // of the answer, once its head has told; else 0
+	fullList   bool // the call requests the full list
+	superseded bool // another call was made later and may have been answered earlier
+	buffer     []byte
+	answerSize int // of header and body, once a Content-Length is known; else 0
 }
 
-// None is the revision of one who holds no list of this discovery.
-const None = -1
+// NoRevision is the revision of a session that holds no list.
+const NoRevision = -1
 
-// NewSession is a session with the discovery at an address, which holds the list of some revision.
+// NewSession returns a session with the discovery at an address; revision is that of the list already held.
 func NewSession(host string, revision int64) *Session {
 	return &Session{host: host, revision: revision, newest: revision}
 }
 
-// Failures of calls that were answered.
+// Errors of calls that were answered.
 var (
-	// ErrUnreadable tells that the answer makes no sense, or is not to be taken.
-	ErrUnreadable = errors.New("discovery: an answer of no use")
-	// ErrOlder tells that the list is older than one told before.
-	ErrOlder = errors.New("an older list")
-	// ErrTurnedDown tells that discovery answered without a list, as one does that is down or has too many callers.
-	ErrTurnedDown = errors.New("discovery: answered with status")
+	// ErrUnreadable means that the answer is malformed or must not be used.
+	ErrUnreadable = errors.New("discovery: unusable answer")
+	// ErrOlderRevision means that the list is older than one received before.
+	ErrOlderRevision = errors.New("older list revision")
+	// ErrStatus means that discovery answered with another status than 200, as it does when it is down or overloaded.
+	ErrStatus = errors.New("discovery: answered with status")
 )
 
-// Restarted takes that discovery counts its revisions anew.
-func (s *Session) Restarted() { s.revision, s.newest = None, None }
+// ForgetRevision makes the session accept any revision, because discovery has restarted and counts its revisions from
+// the start.
+func (s *Session) ForgetRevision() { s.revision, s.newest = NoRevision, NoRevision }
 
-// Whole tells that the next call asks for the whole list and is answered at once. Danger: a revision told by
-// another discovery may mean nothing at this one, and changes since then would hide what else is different.
-func (s *Session) Whole() bool { return s.revision == None }
+// NeedsFullList reports whether the next call requests the full list, which discovery answers at once. A revision
+// received from another discovery may be meaningless to this one, and the changes since it would leave out other
+// differences.
+func (s *Session) NeedsFullList() bool { return s.revision == NoRevision }
 
-// Call asks for the whole list, or waits for what is newer than the revision held.
+// Call returns the HTTP request for the full list, or for the changes since the revision held, which discovery may
+// delay by wait until there are any.
 func (e *Exchange) Call(s *Session, wait time.Duration) []byte {
-	e.buf, e.length, e.whole, e.superseded = e.buf[:0], 0, s.Whole(), false
-	if e.whole {
+	e.buffer, e.answerSize, e.fullList, e.superseded = e.buffer[:0], 0, s.NeedsFullList(), false
+	if e.fullList {
 		return fmt.Appendf(nil, "GET /discovery/hosts HTTP/1.1\r\nHost: %s\r\n\r\n", s.host)
 	}
 	return fmt.Appendf(nil, "GET /discovery/hosts?since=%d&timeout_ms=%d HTTP/1.1\r\nHost: %s\r\n\r\n",
 		s.revision, wait.Milliseconds(), s.host)
 }
 
-// mostAnswer bounds an answer. Danger: one without an end would fill the memory.
-const mostAnswer = 4 << 20
+// maxAnswerSize bounds the memory that an answer without an end can take.
+const maxAnswerSize = 4 << 20
 
-// Feed takes what came on the connection. It returns a list once the answer is complete, nil before that,
-// and an error where the call has failed: ErrUnreadable where an answer came that is of no use. Ended tells that nothing
-// further will come; keep, that the next call may use this connection.
+// Feed handles data that arrived on the connection. It returns a list once the answer is complete, nil before that, and
+// an error if the call has failed; the error is ErrUnreadable if the answer was unusable. Ended means that the
+// connection has ended; keep means that it can be used for the next call.
 func (e *Exchange) Feed(s *Session, data []byte, ended bool) (list *List, keep bool, err error) {
-	if e.buf = append(e.buf, data...); len(e.buf) > mostAnswer {
-		return nil, false, fmt.Errorf("%w: an answer without an end", ErrUnreadable)
+	if e.buffer = append(e.buffer, data...); len(e.buffer) > maxAnswerSize {
+		return nil, false, fmt.Errorf("%w: longer than %d bytes", ErrUnreadable, maxAnswerSize)
 	}
-	if !ended && !e.mayBeWhole() {
+	if !ended && !e.mayBeComplete() {
 		return nil, false, nil
 	}
-	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(e.buf)), nil)
+	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(e.buffer)), nil)
 	if err != nil {
 		return nil, false, fmt.Errorf("discovery: %w", err)
 	}
 	defer resp.Body.Close()
-	e.expect(resp)
+	e.readAnswerSize(resp)
 	body, err := io.ReadAll(resp.Body)
-	untilEnd := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
-	if !ended && (errors.Is(err, io.ErrUnexpectedEOF) || untilEnd) {
-		return nil, false, nil // the rest is still to come
+	closeDelimited := resp.ContentLength < 0 && len(resp.TransferEncoding) == 0
+	if !ended && (errors.Is(err, io.ErrUnexpectedEOF) || closeDelimited) {
+		return nil, false, nil // the answer is not complete yet
 	}
 	if err != nil {
 		return nil, false, fmt.Errorf("discovery: %w", err)
 	}
 	if resp.StatusCode != http.StatusOK {
-		return nil, false, fmt.Errorf("%w %d", ErrTurnedDown, resp.StatusCode)
+		return nil, false, fmt.Errorf("%w %d", ErrStatus, resp.StatusCode)
 	}
-	if list, err = s.accept(body, e.whole); err != nil {
-		if errors.Is(err, ErrOlder) && !e.superseded {
-			s.revision = None // what it holds is no use to ask by
+	if list, err = s.accept(body, e.fullList); err != nil {
+		if errors.Is(err, ErrOlderRevision) && !e.superseded {
+			s.revision = NoRevision // changes since the revision held cannot be requested any more
 		}
 		return nil, false, err
 	}
 	return list, !resp.Close && !ended, nil
 }
 
-// mayBeWhole tells whether an answer may be complete by now; it need not be looked at before.
-func (e *Exchange) mayBeWhole() bool {
-	if e.length > 0 {
-		return len(e.buf) >= e.length
+// mayBeComplete reports whether the answer may be complete. It is a cheap check that saves parsing the answer before.
+func (e *Exchange) mayBeComplete() bool {
+	if e.answerSize > 0 {
+		return len(e.buffer) >= e.answerSize
 	}
-	return bytes.Contains(e.buf, headEnd)
+	return bytes.Contains(e.buffer, headerEnd)
 }
 
-var headEnd = []byte("\r\n\r\n")
+var headerEnd = []byte("\r\n\r\n")
 
-// expect keeps how long an answer is, where its head tells. Danger: a list of a thousand hosts comes in a hundred packets,
-// and to read it anew with each takes longer than a drain's grace.
-func (e *Exchange) expect(resp *http.Response) {
-	if resp.ContentLength >= 0 && resp.ContentLength <= mostAnswer {
-		e.length = bytes.Index(e.buf, headEnd) + len(headEnd) + int(resp.ContentLength)
+// readAnswerSize stores the size of the answer if its header contains the length. Without it, the list of a thousand
+// hosts, which comes in a hundred packets, would be parsed anew with each packet, which takes longer than a drain
+// grace.
+func (e *Exchange) readAnswerSize(resp *http.Response) {
+	if resp.ContentLength >= 0 && resp.ContentLength <= maxAnswerSize {
+		e.answerSize = bytes.Index(e.buffer, headerEnd) + len(headerEnd) + int(resp.ContentLength)
 	}
 }
 
-// accept reads the answer to a call, for the whole list or for what has changed, and holds it, if it is one to be taken.
-func (s *Session) accept(body []byte, whole bool) (*List, error) {
+// accept parses the answer to a call and updates the revision held, unless the list must be rejected.
+func (s *Session) accept(body []byte, fullList bool) (*List, error) {
 	list, err := Parse(body)
 	if err != nil {
 		return nil, fmt.Errorf("%w: %w", ErrUnreadable, err)
 	}
-	if (whole || s.Whole()) && !list.Complete { // what the changes count from may be held no more
-		return nil, fmt.Errorf("%w: a part of the list in place of the whole", ErrUnreadable)
+	if (fullList || s.NeedsFullList()) && !list.Complete { // changes may refer to a list not held
+		return nil, fmt.Errorf("%w: part of the list instead of the full list", ErrUnreadable)
 	}
-	// Danger: a list that is older than the one held, taken for new, would bring a desk host back that drains.
+	// An older list taken for a new one would put a draining desk host back into service.
 	if list.Revision < s.newest {
-		return nil, fmt.Errorf("%w: %w: revision %d where %d was told", ErrUnreadable, ErrOlder, list.Revision, s.newest)
+		return nil, fmt.Errorf("%w: %w: got %d after %d", ErrUnreadable, ErrOlderRevision, list.Revision, s.newest)
 	}
 	s.revision, s.newest = list.Revision, list.Revision
 	return list, nil
--- a/internal/discovery/client_test.go
+++ b/internal/discovery/client_test.go
@@ -11,27 +11,27 @@
 	"tealtiller/policy"
 )
 
-const list = `{"revision":43,"complete":false,"later":{"a":[1]},"members":[
+const partialListJSON = `{"revision":43,"complete":false,"later":{"a":[1]},"members":[
   {"id":"s-5be2a07c","host_port":"10.1.0.18:3000","locality":"a","flavor":"m2","cell":3,"phase":"terminating","size":1.5,"up_since_ms":1700000000123}]}`
 
-// client is a session with the one exchange that most tests need.
-type client struct {
+// sessionClient combines a session with the single exchange that most tests need.
+type sessionClient struct {
 	*Session
 	Exchange
 }
 
-func newClient(host string, revision int64) *client {
-	return &client{Session: NewSession(host, revision)}
+func newSessionClient(host string, revision int64) *sessionClient {
+	return &sessionClient{Session: NewSession(host, revision)}
 }
 
-func (c *client) Call(wait time.Duration) []byte { return c.Exchange.Call(c.Session, wait) }
+func (c *sessionClient) Call(wait time.Duration) []byte { return c.Exchange.Call(c.Session, wait) }
 
-func (c *client) Feed(data []byte, ended bool) (*List, bool, error) {
+func (c *sessionClient) Feed(data []byte, ended bool) (*List, bool, error) {
 	return c.Exchange.Feed(c.Session, data, ended)
 }
 
 func TestParse(t *testing.T) {
-	got, err := Parse([]byte(list))
+	got, err := Parse([]byte(partialListJSON))
 	require.NoError(t, err)
 	assert.EqualValues(t, 43, got.Revision)
 	assert.False(t, got.Complete)
@@ -40,26 +40,26 @@
 	assert.Equal(t, "10.1.0.18:3000", got.Members[0].Address.String())
 }
 
-func TestBadListsAreRefused(t *testing.T) {
+func TestInvalidListsAreRejected(t *testing.T) {
 	for _, text := range []string{``, `[]`, `{}`, `{"revision":1}`, `{"members":[]}`, `{"revision":1,"members":[{"id":"a"}]}`,
 		`{"revision":1,"members":[{"id":"a","phase":"odd","host_port":"1.2.3.4:5"}]}`,
 		`{"revision":1,"members":[{"id":"a","phase":"in_service","host_port":"nowhere"}]}`,
-		`{"revision":1,"members":[{"phase":"in_service","host_port":"1.2.3.4:5"}]}`, list[:90], list + "x",
+		`{"revision":1,"members":[{"phase":"in_service","host_port":"1.2.3.4:5"}]}`, partialListJSON[:90], partialListJSON + "x",
 		`{"revision":1,"members":[{"id":"a","phase":"terminating","host_port":"1.2.3.4:5"},{"id":"a","phase":"in_service","host_port":"1.2.3.4:5"}]}`} {
 		_, err := Parse([]byte(text))
 		assert.Error(t, err, text)
 	}
 }
 
-func answer(status, body string) string {
+func response(status, body string) string {
 	return fmt.Sprintf("HTTP/1.1 %s\r\nContent-Length: %d\r\n\r\n%s", status, len(body), body)
 }
 
-// An answer may come byte by byte; the next call asks for what is newer than it told.
+// An answer may arrive byte by byte; the next call requests the changes since its revision.
 func TestAnswerInParts(t *testing.T) {
-	c := newClient("1.2.3.4:5", 41)
+	c := newSessionClient("1.2.3.4:5", 41)
 	assert.Equal(t, "GET /discovery/hosts?since=41&timeout_ms=8000 HTTP/1.1\r\nHost: 1.2.3.4:5\r\n\r\n", string(c.Call(8*time.Second)))
-	text := answer("200 OK", list)
+	text := response("200 OK", partialListJSON)
 	for i := range len(text) - 1 {
 		got, _, err := c.Feed([]byte{text[i]}, false)
 		require.NoError(t, err)
@@ -72,68 +72,68 @@
 	assert.Contains(t, string(c.Call(time.Second)), "since=43&timeout_ms=1000 ")
 }
 
-func TestOtherForms(t *testing.T) {
-	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(list), list)
-	got, keep, err := newClient("h", 1).Feed([]byte(chunked), false)
+func TestTransferEncodings(t *testing.T) {
+	chunked := fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n0\r\n\r\n", len(partialListJSON), partialListJSON)
+	got, keep, err := newSessionClient("h", 1).Feed([]byte(chunked), false)
 	require.NoError(t, err)
 	assert.True(t, got != nil && keep)
-	closing := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + list
-	c := newClient("h", 1)
+	closing := "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + partialListJSON
+	c := newSessionClient("h", 1)
 	got, _, err = c.Feed([]byte(closing), false)
 	require.NoError(t, err)
-	require.Nil(t, got, "the end of the connection ends it")
+	require.Nil(t, got, "the answer ends with the connection")
 	got, keep, err = c.Feed(nil, true)
 	require.NoError(t, err)
 	assert.True(t, got != nil && !keep)
 }
 
 func TestFailedCalls(t *testing.T) {
-	for name, text := range map[string]string{"503": answer("503 Service Unavailable", "busy"), "no HTTP": "what\r\n\r\n",
-		"bad list": answer("200 OK", `{"revision":9}`)} {
-		c := newClient("h", 1)
+	for name, text := range map[string]string{"503": response("503 Service Unavailable", "busy"), "no HTTP": "what\r\n\r\n",
+		"bad list": response("200 OK", `{"revision":9}`)} {
+		c := newSessionClient("h", 1)
 		got, _, err := c.Feed([]byte(text), false)
 		assert.Error(t, err, name)
 		assert.Nil(t, got, name)
 		assert.Contains(t, string(c.Call(0)), "since=1&", name)
 	}
-	_, _, err := newClient("h", 1).Feed([]byte(answer("200 OK", list)[:60]), true)
-	assert.Error(t, err, "broken off")
-	_, _, err = newClient("h", 1).Feed(make([]byte, mostAnswer+1), false)
-	assert.Error(t, err, "without an end")
+	_, _, err := newSessionClient("h", 1).Feed([]byte(response("200 OK", partialListJSON)[:60]), true)
+	assert.Error(t, err, "truncated")
+	_, _, err = newSessionClient("h", 1).Feed(make([]byte, maxAnswerSize+1), false)
+	assert.Error(t, err, "too long")
 }
 
-// Of a discovery that has told nothing yet the whole list is asked for, until it comes.
-func TestWholeListFirst(t *testing.T) {
-	c := newClient("1.2.3.4:5", None)
-	const whole = "GET /discovery/hosts HTTP/1.1\r\nHost: 1.2.3.4:5\r\n\r\n"
-	assert.Equal(t, whole, string(c.Call(time.Second)))
-	_, _, err := c.Feed([]byte(answer("200 OK", list)), false)
+// A session without a list requests the full list until it has received one.
+func TestFirstCallRequestsTheFullList(t *testing.T) {
+	c := newSessionClient("1.2.3.4:5", NoRevision)
+	const fullListCall = "GET /discovery/hosts HTTP/1.1\r\nHost: 1.2.3.4:5\r\n\r\n"
+	assert.Equal(t, fullListCall, string(c.Call(time.Second)))
+	_, _, err := c.Feed([]byte(response("200 OK", partialListJSON)), false)
 	assert.ErrorContains(t, err, "part of the list")
-	assert.Equal(t, whole, string(c.Call(time.Second)))
-	_, _, err = c.Feed([]byte(answer("200 OK", `{"revision":3,"complete":true,"members":[]}`)), false)
+	assert.Equal(t, fullListCall, string(c.Call(time.Second)))
+	_, _, err = c.Feed([]byte(response("200 OK", `{"revision":3,"complete":true,"members":[]}`)), false)
 	require.NoError(t, err)
 	assert.Contains(t, string(c.Call(time.Second)), "since=3&")
 }
 
-// A list that is older than one told before is no news, whole or a part; the next call asks for the whole.
-func TestOlderListsAreRefused(t *testing.T) {
-	for name, complete := range map[string]bool{"whole": true, "a part": false} {
-		c := newClient("h", 43)
-		got, _, err := c.Feed([]byte(answer("200 OK", body(42, complete, entry("s-1", 1, "in_service")))), false)
-		assert.ErrorIs(t, err, ErrOlder, name)
+// A list older than one received before is rejected, whether full or partial; the next call requests the full list.
+func TestOlderListsAreRejected(t *testing.T) {
+	for name, complete := range map[string]bool{"full": true, "partial": false} {
+		c := newSessionClient("h", 43)
+		got, _, err := c.Feed([]byte(response("200 OK", listJSON(42, complete, memberJSON("s-1", 1, "in_service")))), false)
+		assert.ErrorIs(t, err, ErrOlderRevision, name)
 		assert.ErrorIs(t, err, ErrUnreadable, name)
 		assert.Nil(t, got, name)
 		assert.NotContains(t, string(c.Call(time.Second)), "since=", name)
-		_, _, err = c.Feed([]byte(answer("200 OK", body(42, true, entry("s-1", 1, "in_service")))), false)
-		assert.ErrorIs(t, err, ErrOlder, "%s: the whole, again older", name)
+		_, _, err = c.Feed([]byte(response("200 OK", listJSON(42, true, memberJSON("s-1", 1, "in_service")))), false)
+		assert.ErrorIs(t, err, ErrOlderRevision, "%s: a full list, older again", name)
 		_ = c.Call(0)
-		_, _, err = c.Feed([]byte(answer("200 OK", body(43, true, entry("s-1", 1, "terminating")))), false)
+		_, _, err = c.Feed([]byte(response("200 OK", listJSON(43, true, memberJSON("s-1", 1, "terminating")))), false)
 		assert.NoError(t, err, name)
 	}
 }
 
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(list))
+	f.Add([]byte(partialListJSON))
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		if got, err := Parse(raw); err == nil {
 			for _, s := range got.Servers() {
@@ -144,9 +144,9 @@
 }
 
 func FuzzFeed(f *testing.F) {
-	f.Add([]byte(answer("200 OK", list)), true)
+	f.Add([]byte(response("200 OK", partialListJSON)), true)
 	f.Fuzz(func(t *testing.T, raw []byte, ended bool) {
-		c := newClient("h", 1)
+		c := newSessionClient("h", 1)
 		if got, _, err := c.Feed(raw, ended); err != nil {
 			assert.Nil(t, got)
 		}
--- a/internal/discovery/lease.go
+++ b/internal/discovery/lease.go
@@ -5,83 +5,87 @@
 	"time"
 )
 
-// This file works out the lease on the host list: until when it may be used to place new requests. Danger: a change that was
-// missed, because a call was lost or none was answered yet, counts as notified all the same.
+// This file computes the lease on the host list: the time until which the list may be used to place new requests. The
+// lease is limited because a change that this process missed, as a call was lost or has not been answered yet, counts
+// as notified nevertheless.
 //
-// A change counts as notified at the latest notifiedWithin after discovery had it and could be reached; one that a silent long
-// poll missed, notifiedAfterPoll after the poll's wait if that is later. A process that has just started is bound by all earlier
-// changes at once, so its lease begins with the first answer. Where lists are pushed, an agent that has answered once tells all
-// that it has at each call, and is silent only while there is nothing to tell.
+// A change counts as notified at the latest notifiedWithin after discovery had it and was reachable; a change that an
+// unanswered long poll missed, notifiedAfterPoll after the wait of that poll, if that is later. A new process is bound
+// by all earlier changes from its start, so its lease begins with the first answer. If lists are pushed, an agent that
+// has answered once reports everything it has at each call, and leaves a call unanswered only while there is nothing to
+// report.
 
-// The limits of the protocol.
+// Limits of the discovery protocol.
 const (
 	notifiedWithin      = 6 * time.Second
 	notifiedAfterPoll   = 2 * time.Second
 	notifiedAfterReload = 4 * time.Second
 )
 
-// longestHold is how long the process may be held up between reading its clock and what it does then: once as it takes an
-// answer, and once as it writes a request.
-const longestHold = 150 * time.Millisecond
+// maxStall is how long the process may be stalled between reading the clock and acting on it. This can happen twice:
+// when it handles an answer, and when it writes a request.
+const maxStall = 150 * time.Millisecond
 
-// Unlimited is the end of a lease that does not end.
+// Unlimited is the end of a lease that does not expire.
 const Unlimited = time.Duration(1<<63 - 1)
 
-// allowance is how long after a notification new requests may still be sent: the drain grace, less two holds.
-func (w *Watcher) allowance() time.Duration { return w.Grace - 2*longestHold }
+// sendAllowance is how long after a notification new requests may still be sent: the drain grace less two stalls.
+func (w *Watcher) sendAllowance() time.Duration { return w.Grace - 2*maxStall }
 
-// setLease tells the observer of a lease that has changed.
+// setLease sets the end of the lease and notifies the observer if it has changed.
 func (w *Watcher) setLease(now, until time.Duration) {
-	if until == w.leased {
+	if until == w.leaseEnd {
 		return
 	}
-	w.leased = until
+	w.leaseEnd = until
 	w.observer.LeaseChanged(now, until)
 }
 
-// extend has the lease last at least until a moment.
-func (w *Watcher) extend(now, until time.Duration) { w.setLease(now, max(w.leased, until)) }
+// extendLease makes the lease last at least until the given time.
+func (w *Watcher) extendLease(now, until time.Duration) { w.setLease(now, max(w.leaseEnd, until)) }
 
-// renew begins the lease anew: discovery has answered, and the next call is under way or about to be made.
-func (w *Watcher) renew(now time.Duration) {
+// renewLease starts a new lease: discovery has answered, and the next call is open or about to be sent.
+func (w *Watcher) renewLease(now time.Duration) {
 	if w.Pushed {
 		w.setLease(now, Unlimited)
 		return
 	}
-	w.setLease(now, now+notifiedWithin+w.allowance())
-	w.coverPoll(now, w.current())
+	w.setLease(now, now+notifiedWithin+w.sendAllowance())
+	w.coverLongPoll(now, w.current())
 }
 
-// coverPoll has the lease last through the wait of a long poll that follows an answer. One beside an overdue call does not
-// follow an answer.
-func (w *Watcher) coverPoll(now time.Duration, c *connection) {
-	if !w.Pushed && c != nil && c.waiting && len(w.connections) == 1 && c.wait+notifiedAfterPoll > notifiedWithin {
-		w.extend(now, c.asked+c.wait+notifiedAfterPoll+w.allowance())
+// coverLongPoll extends the lease over the wait of a long poll that follows an answer. A call beside an overdue one
+// does not follow an answer.
+func (w *Watcher) coverLongPoll(now time.Duration, c *connection) {
+	if !w.Pushed && c != nil && c.awaitingAnswer && len(w.connections) == 1 && c.wait+notifiedAfterPoll > notifiedWithin {
+		w.extendLease(now, c.calledAt+c.wait+notifiedAfterPoll+w.sendAllowance())
 	}
 }
 
-// unreachable takes that discovery could not be reached until now, so that nothing it has counts as notified yet.
-func (w *Watcher) unreachable(now time.Duration) {
-	within := notifiedWithin
+// discoveryUnreachable records that discovery could not be reached until now, so none of its changes count as notified
+// yet.
+func (w *Watcher) discoveryUnreachable(now time.Duration) {
+	limit := notifiedWithin
 	if w.moved {
-		within = notifiedAfterReload
+		limit = notifiedAfterReload
 	}
-	w.extend(now, now+within+w.allowance())
+	w.extendLease(now, now+limit+w.sendAllowance())
 }
 
-// shortenAfterMove ends the lease soon after a reload that moves discovery.
+// shortenAfterMove limits the lease after a reload that changes the address of discovery.
 func (w *Watcher) shortenAfterMove(now time.Duration) {
 	if !w.Pushed {
-		w.setLease(now, min(w.leased, now+notifiedAfterReload+w.allowance()))
+		w.setLease(now, min(w.leaseEnd, now+notifiedAfterReload+w.sendAllowance()))
 	}
 }
 
-// turnedDown tells whether a failure shows that discovery could not be reached: it refused the connection or the call, or
-// ended the call without a word. An answer that broke off, or makes no sense, shows the opposite. An agent is on this machine
-// and is asked again at once: it tells that only by refusing connections, as one that does not run.
-func (w *Watcher) turnedDown(c *connection, err error, how Failure) bool {
-	if w.Pushed && c.calls > 0 {
+// showsUnreachable reports whether a failure proves that discovery could not be reached: it refused the connection or
+// the call, or closed the connection without an answer. An answer that is truncated or malformed proves the opposite.
+// An agent runs on this machine and is called again at once; only a refused connection, which means that it does not
+// run, proves that it could not be reached.
+func (w *Watcher) showsUnreachable(c *connection, err error, kind FailureKind) bool {
+	if w.Pushed && c.callsMade > 0 {
 		return false
 	}
-	return how == Refused && (!c.heard || errors.Is(err, ErrTurnedDown))
+	return kind == FailureRefused && (!c.answerStarted || errors.Is(err, ErrStatus))
 }
--- a/internal/discovery/list.go
+++ b/internal/discovery/list.go
@@ -1,5 +1,5 @@
-// Package discovery speaks with discovery: the state of its HTTP/1.1 connection, when it is called, and the parser of the
-// host lists that it answers with. It holds no socket.
+// Package discovery implements the client side of the discovery protocol: the HTTP/1.1 calls, when they are made and
+// retried, the parsing of host lists, and the lease on them. It is independent of sockets.
 package discovery
 
 import (
@@ -14,56 +14,56 @@
 	"tealtiller/policy"
 )
 
-// Member is a desk host as discovery lists it.
+// Member is a desk host in the host list.
 type Member struct {
 	policy.Server
 	Address netip.AddrPort
 }
 
-// List is the host list: the whole of it, or what has changed.
+// List is a host list: the full list, or the changed members only.
 type List struct {
-	Told     time.Duration // since when its news may count as told; 0 where nothing is known of that
-	Revision int64
-	Complete bool
-	Members  []Member
+	NotifiedAt time.Duration // since when its changes may count as notified; 0 if unknown
+	Revision   int64
+	Complete   bool
+	Members    []Member
 }
 
-// Servers is the list as the module takes it.
+// Servers returns the members in the form that the policy module uses.
 func (l *List) Servers() []policy.Server {
 	out := make([]policy.Server, len(l.Members))
 	for i, m := range l.Members {
 		out[i] = m.Server
-		out[i].NotifiedAt = l.Told
+		out[i].NotifiedAt = l.NotifiedAt
 	}
 	return out
 }
 
-var phases = map[string]policy.State{
+var statesByPhase = map[string]policy.State{
 	"in_service": policy.Ready, "terminating": policy.Draining, "terminated": policy.Gone,
 }
 
-// Parse reads a list. A list with a member that makes no sense is refused as a whole: half of one could hide
-// a desk host that drains.
+// Parse parses a host list. A list with an invalid member is rejected as a whole, because the rest of it could hide
+// that a desk host is draining.
 func Parse(raw []byte) (*List, error) {
-	list, versioned, listed, named := &List{}, false, false, map[string]bool{}
+	list, hasRevision, hasMembers, seen := &List{}, false, false, map[string]bool{}
 	l := &jlexer.Lexer{Data: raw}
 	settings.ForEachField(l, func(field string) {
 		switch field {
 		case "revision":
-			list.Revision, versioned = l.Int64(), true
+			list.Revision, hasRevision = l.Int64(), true
 		case "complete":
 			list.Complete = l.Bool()
 		case "members":
-			listed = true
+			hasMembers = true
 			settings.ForEachElement(l, func() {
-				m, err := member(l)
+				m, err := parseMember(l)
 				if err != nil {
 					l.AddError(err)
 				}
-				if named[m.ID] {
+				if seen[m.ID] {
 					l.AddError(fmt.Errorf("member %s twice", m.ID))
 				}
-				named[m.ID] = true
+				seen[m.ID] = true
 				list.Members = append(list.Members, m)
 			})
 		default:
@@ -72,15 +72,15 @@
 	})
 	l.Consumed()
 	if err := l.Error(); err != nil {
-		return nil, fmt.Errorf("discovery: %v", err) // not wrapped: its EOF is not ours
+		return nil, fmt.Errorf("discovery: %v", err) // not wrapped: its EOF is not the connection's
 	}
-	if !versioned || !listed {
-		return nil, errors.New("discovery: no revision or no members")
+	if !hasRevision || !hasMembers {
+		return nil, errors.New("discovery: list without revision or members")
 	}
 	return list, nil
 }
 
-func member(l *jlexer.Lexer) (m Member, err error) {
+func parseMember(l *jlexer.Lexer) (m Member, err error) {
 	var address, phase string
 	settings.ForEachField(l, func(field string) {
 		switch field {
@@ -104,7 +104,7 @@
 			l.SkipRecursive()
 		}
 	})
-	state, ok := phases[phase]
+	state, ok := statesByPhase[phase]
 	if !ok || m.ID == "" {
 		return m, fmt.Errorf("member %q in phase %q", m.ID, phase)
 	}
--- a/internal/discovery/mutation_test.go
+++ b/internal/discovery/mutation_test.go
@@ -13,22 +13,22 @@
 	"tealtiller/policy"
 )
 
-func entry(id string, port int, phase string) string {
+func memberJSON(id string, port int, phase string) string {
 	return fmt.Sprintf(`{"id":%q,"host_port":"10.1.0.18:%d","locality":"a","cell":3,"phase":%q,"size":1.5,"up_since_ms":17}`, id, port, phase)
 }
 
-func body(revision int, complete bool, members string) string {
+func listJSON(revision int, complete bool, members string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, revision, complete, members)
 }
 
-// forms are the ways in which an answer may come: with its length, in chunks, without a length until the end, indented.
-var forms = map[string]func(body string) (text string, ends bool){
-	"length": func(b string) (string, bool) { return answer("200 OK", b), false },
+// encodings are the ways to send an answer: with its length, in chunks, delimited by the close, indented.
+var encodings = map[string]func(body string) (text string, ends bool){
+	"length": func(b string) (string, bool) { return response("200 OK", b), false },
 	"chunked": func(b string) (string, bool) {
 		half := len(b) / 2
 		return fmt.Sprintf("HTTP/1.1 200 OK\r\nTransfer-Encoding: chunked\r\n\r\n%x\r\n%s\r\n%x\r\n%s\r\n0\r\n\r\n", half, b[:half], len(b)-half, b[half:]), false
 	},
-	"until its end": func(b string) (string, bool) { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b, true },
+	"close-delimited": func(b string) (string, bool) { return "HTTP/1.1 200 OK\r\nConnection: close\r\n\r\n" + b, true },
 	"indented": func(b string) (string, bool) {
 		out := ""
 		for _, r := range b {
@@ -36,19 +36,19 @@
 				out += "\n\t  "
 			}
 		}
-		return answer("200 OK", out), false
+		return response("200 OK", out), false
 	},
 }
 
-// holder keeps the list as the module does, as far as these runs need it.
-type holder struct {
-	client *client
+// moduleList maintains the host list as the policy module does, as far as these tests need it.
+type moduleList struct {
+	client *sessionClient
 	phases map[string]policy.State
 }
 
-// take feeds an answer in pieces, as reads deliver it; ends tells that its connection ends then. It tells whether the
-// call failed or is still waited for, and so is made again.
-func (h *holder) take(t *testing.T, text string, ends bool, rng *rand.Rand) (again bool) {
+// feed passes an answer on in pieces, as reads deliver it; ends means that the connection closes after it. It reports
+// whether the call must be repeated, because it failed or is still open.
+func (h *moduleList) feed(t *testing.T, text string, ends bool, rng *rand.Rand) (repeat bool) {
 	_ = h.client.Call(time.Second)
 	for {
 		n := min(1+rng.IntN(200), len(text))
@@ -77,41 +77,41 @@
 	}
 }
 
-// A short run of answers, each once in every form, with one change at a time: nothing crashes, no half list is taken, and
-// with the next whole answer of a discovery that is well all is as it should be. What a part says is not undone by an
-// older one that comes again or late.
-func TestOneAnswerChanged(t *testing.T) {
-	bodies := []string{body(41, true, entry("s-1", 1, "in_service")+","+entry("s-2", 2, "in_service")),
-		body(42, false, entry("s-1", 1, "terminating")), body(44, false, entry("s-3", 3, "in_service")+","+entry("s-2", 2, "terminated"))}
+// A short sequence of answers, in every encoding, with one mutation at a time: nothing crashes, no incomplete list is
+// accepted, and the next full list of a sound discovery restores the correct state. A partial list is not undone by an
+// older one that is repeated or arrives late.
+func TestMutatedAnswers(t *testing.T) {
+	bodies := []string{listJSON(41, true, memberJSON("s-1", 1, "in_service")+","+memberJSON("s-2", 2, "in_service")),
+		listJSON(42, false, memberJSON("s-1", 1, "terminating")), listJSON(44, false, memberJSON("s-3", 3, "in_service")+","+memberJSON("s-2", 2, "terminated"))}
 	want := map[string]policy.State{"s-1": policy.Draining, "s-3": policy.Ready}
-	truth := body(44, true, entry("s-1", 1, "terminating")+","+entry("s-3", 3, "in_service"))
+	finalList := listJSON(44, true, memberJSON("s-1", 1, "terminating")+","+memberJSON("s-3", 3, "in_service"))
 	cases := 0
-	for form, wrap := range forms {
+	for form, wrap := range encodings {
 		run, ends := []mutation.Message{}, false
 		for _, b := range bodies {
 			text := ""
 			text, ends = wrap(b)
 			run = append(run, mutation.Message{From: "discovery", To: "n1", Kind: form, Body: []byte(text)})
 		}
-		play := func(name string, run []mutation.Message) (h *holder) {
-			h = &holder{client: newClient("h", None)}
+		feedAll := func(name string, run []mutation.Message) (h *moduleList) {
+			h = &moduleList{client: newSessionClient("h", NoRevision)}
 			rng := rand.New(rand.NewPCG(1, 2))
 			for _, m := range run {
-				older := h.client.revision
-				again := h.take(t, string(m.Body), ends, rng)
-				if !again && older != None && h.client.revision < older {
-					t.Fatalf("%s: revision %d taken after %d", name, h.client.revision, older)
+				previous := h.client.revision
+				repeat := h.feed(t, string(m.Body), ends, rng)
+				if !repeat && previous != NoRevision && h.client.revision < previous {
+					t.Fatalf("%s: revision %d taken after %d", name, h.client.revision, previous)
 				}
 			}
 			return h
 		}
-		require.Equal(t, want, play(form+" unchanged", run).phases)
+		require.Equal(t, want, feedAll(form+" unchanged", run).phases)
 		for c := range mutation.Cases(run, mutation.Options{MaxPositions: 60}) {
 			cases++
-			h := play(c.String(), c.Run)
-			h.client = newClient("h", None) // as after a move, or a failure that left nothing to go by
-			text, ends := wrap(truth)
-			assert.False(t, h.take(t, text, ends, rand.New(rand.NewPCG(3, 4))), c.String())
+			h := feedAll(c.String(), c.Run)
+			h.client = newSessionClient("h", NoRevision) // as after a move, or after a failure that left no usable revision
+			text, ends := wrap(finalList)
+			assert.False(t, h.feed(t, text, ends, rand.New(rand.NewPCG(3, 4))), c.String())
 			require.Equal(t, want, h.phases, c.String())
 		}
 	}
--- a/internal/discovery/observer.go
+++ b/internal/discovery/observer.go
@@ -2,36 +2,37 @@
 
 import "time"
 
-// Observer hears what comes of the calls.
+// Observer is notified of calls, lists and leases.
 type Observer interface {
 	CallStarted(call CallStart)
-	// CallResent tells that a call crossed the end of a kept connection and is made again.
+	// CallResent is called when discovery closed a kept-alive connection just as a call was sent; the call is sent
+	// again.
 	CallResent()
 	CallFailed(now time.Duration, failure CallFailure)
-	// WatchStopped tells that the watch is off until Watch turns it on again, or an overdue call is answered.
+	// WatchStopped is called when the watch is off until Watch turns it on again or an overdue call is answered.
 	WatchStopped(now time.Duration)
 	ListReceived(now time.Duration, list *List)
-	// LeaseChanged tells until when the list that is held may be used, after each change of that.
+	// LeaseChanged is called after each change of the time until which the list may be used.
 	LeaseChanged(now, until time.Duration)
 }
 
-// CallStart describes a call as it is written.
+// CallStart describes a call when it is sent.
 type CallStart struct {
-	Connection int // the number of its connection, of all that were made
+	Connection int // the number of its connection, counted since the start
 	Address    string
-	Since      int64         // the revision that is held; None asks for the whole list
-	Wait       time.Duration // discovery may hold its answer back so long
-	Timeout    time.Duration // from the call to its answer; then it is overdue
+	Since      int64         // the revision held; NoRevision requests the full list
+	Wait       time.Duration // how long discovery may delay its answer
+	Timeout    time.Duration // from the call to its answer; then the call is overdue
 }
 
-// CallFailure describes a call that has failed or is overdue, or a connection that did not come up.
+// CallFailure describes a call that failed or is overdue, or a connection that could not be established.
 type CallFailure struct {
 	Connection  int
 	Address     string
 	Err         error
-	Elapsed     time.Duration // since the call, or since the connection was asked for
+	Elapsed     time.Duration // since the call, or since the dial if no call was sent
 	Consecutive int           // failures since the last answer
-	Retries     bool          // the watcher calls again by itself,
-	RetryDelay  time.Duration // after this
-	ShouldLog   bool          // it is worth a line of the log
+	Retries     bool          // the watcher retries the call by itself
+	RetryDelay  time.Duration // the delay before that retry
+	ShouldLog   bool          // the failure is worth a log line
 }
--- a/internal/discovery/watcher.go
+++ b/internal/discovery/watcher.go
@@ -7,240 +7,243 @@
 	"tealtiller/internal/deadline"
 )
 
-// Transport makes the connections to discovery that a Watcher decides on; it knows each by its number.
+// Transport holds the connections to discovery for a Watcher, by their numbers.
 type Transport interface {
-	// Dial makes a connection, which Connected or Closed tells of within the limit.
+	// Dial opens a connection; Connected or Closed is called within the limit.
 	Dial(now time.Duration, connection int, address string, limit time.Duration)
 	Send(connection int, request []byte)
-	// Drop leaves a connection, also one that is not up yet; nothing is told of it any more.
+	// Drop closes a connection, even one that is not established yet; no event of it is reported any more.
 	Drop(connection int)
 }
 
-// Errors of calls that failed without an answer that could be read.
+// Errors of calls without a complete answer.
 var (
-	errNoAnswer   = errors.New("discovery: no answer in time")
-	errOutOfReach = errors.New("discovery: out of reach")
-	errBrokeOff   = errors.New("discovery: the answer broke off")
+	errNoAnswer        = errors.New("discovery: no answer in time")
+	errUnreachable     = errors.New("discovery: cannot connect")
+	errAnswerTruncated = errors.New("discovery: answer truncated")
 )
 
-// crossingWindow is how soon after a call the end of a kept connection means that the two crossed.
-const crossingWindow = 200 * time.Millisecond
+// keepAliveRaceWindow is how soon after a call the close of a kept-alive connection means that discovery had closed it
+// before it received the call.
+const keepAliveRaceWindow = 200 * time.Millisecond
 
-// Watcher keeps the watch on the host list by calls to discovery. It holds no socket and reads no clock: events come in with
-// their time, a Transport and an Observer carry out what follows.
+// Watcher keeps a watch on the host list by calls to discovery. It holds no socket and reads no clock: events are
+// passed in with their time, and a Transport and an Observer act on the results.
 //
-// A call that is overdue is hedged: the next one is made on a connection of its own, and the overdue one stays open for its
-// answer. Danger: a discovery that is slow, given up each time before its answer, would never be heard, and what an
-// abandoned call was about to tell counts as told.
+// An overdue call is hedged: the next call is made on another connection, and the overdue one stays open for its
+// answer. If every call were given up before its answer, the list of a slow discovery would never be received, while
+// the changes in it count as notified.
 type Watcher struct {
-	Clock
-	transport   Transport
-	observer    Observer
-	deadlines   *deadline.Queue
-	session     *Session
-	address     string
-	on          bool          // a call is under way, or the next one is due by itself
-	connections []*connection // in order of age; all but one at the most are overdue
-	made        int           // of all connections, the number of the newest
-	retry       *deadline.Deadline
-	heardAt     time.Duration // when this discovery last answered; 0 before
-	olderAt     time.Duration // when it first told an older list since then; 0 if it has not
-	leased      time.Duration // until then the list may be used; 0 before the first lease
+	CallScheduler
+	transport      Transport
+	observer       Observer
+	deadlines      *deadline.Queue
+	session        *Session
+	address        string
+	watching       bool          // a call is open, or the next one is due without a call of Watch
+	connections    []*connection // by age, the oldest first; all but at most one are overdue
+	lastNumber     int           // the number of the newest connection
+	retry          *deadline.Deadline
+	answeredAt     time.Duration // when this discovery last answered; 0 if it has not
+	olderListSince time.Duration // when it first sent an older list since its last answer; 0 if it has not
+	leaseEnd       time.Duration // the list may be used until then; 0 before the first lease
 }
 
-// NewWatcher makes a watcher of the discovery at an address; it holds no list yet.
+// NewWatcher returns a watcher of the discovery at an address. It holds no list, and the watch is off.
 func NewWatcher(address string, transport Transport, observer Observer, deadlines *deadline.Queue) *Watcher {
-	return &Watcher{Clock: Clock{MinGrace: LeastGrace}, transport: transport, observer: observer, deadlines: deadlines,
-		address: address, session: NewSession(address, None)}
+	return &Watcher{CallScheduler: CallScheduler{MinGrace: DefaultMinGrace}, transport: transport, observer: observer,
+		deadlines: deadlines, address: address, session: NewSession(address, NoRevision)}
 }
 
-// Address is where discovery is.
+// Address returns the address of discovery.
 func (w *Watcher) Address() string { return w.address }
 
-// Configure takes the settings in force.
+// Configure sets whether the list is pushed by an agent, and the drain grace.
 func (w *Watcher) Configure(pushed bool, grace time.Duration) { w.Pushed, w.Grace = pushed, grace }
 
 // Watch turns the watch on or off.
 func (w *Watcher) Watch(now time.Duration, on bool) {
-	if w.on == on {
+	if w.watching == on {
 		return
 	}
-	if w.on = on; on {
+	if w.watching = on; on {
 		w.dial(now)
 	} else {
 		w.dropAll()
 	}
 }
 
-// MoveTo goes over to another discovery, at once and with no failure told: a call that was put off after a failure was
-// for the old one. The list stays until the new one tells the whole of its own.
+// MoveTo switches to another discovery at once, without reporting a failure: a delayed retry concerned the old one. The
+// list is kept until the new one has sent its full list.
 func (w *Watcher) MoveTo(now time.Duration, address string) {
-	w.address, w.session = address, NewSession(address, None)
-	w.Moved()
-	w.heardAt, w.olderAt = 0, 0
+	w.address, w.session = address, NewSession(address, NoRevision)
+	w.DiscoveryMoved()
+	w.answeredAt, w.olderListSince = 0, 0
 	w.dropAll()
-	w.on = true
+	w.watching = true
 	w.shortenAfterMove(now)
 	w.dial(now)
 }
 
-// dial begins a connection for the next call.
+// dial opens a connection for the next call.
 func (w *Watcher) dial(now time.Duration) {
 	w.deadlines.Stop(w.retry)
-	if len(w.connections) >= mostConnections {
+	if len(w.connections) >= maxConnections {
 		w.drop(w.closestInAge(now))
 	}
-	limit := w.Call(w.session.Whole()).Dial
-	w.made++
-	c := &connection{number: w.made, dialled: now, dialLimit: limit}
+	timeout := w.NextCall(w.session.NeedsFullList()).DialTimeout
+	w.lastNumber++
+	c := &connection{number: w.lastNumber, dialledAt: now, dialTimeout: timeout}
 	w.connections = append(w.connections, c)
-	w.transport.Dial(now, c.number, w.address, limit)
+	w.transport.Dial(now, c.number, w.address, timeout)
 }
 
-// ask makes the next call on a connection, at once: a watch lasts only as long as calls follow closely.
-func (w *Watcher) ask(now time.Duration, c *connection) {
-	c.waiting, c.heard, c.overdue, c.asked = true, false, false, now
-	c.calls++
-	call := w.Call(w.session.Whole())
+// sendCall sends the next call on a connection, at once: the watch lasts only as long as calls follow closely.
+func (w *Watcher) sendCall(now time.Duration, c *connection) {
+	c.awaitingAnswer, c.answerStarted, c.overdue, c.calledAt = true, false, false, now
+	c.callsMade++
+	call := w.NextCall(w.session.NeedsFullList())
 	c.wait = call.Wait
-	c.limit = w.deadlines.Set(now+call.Limit, func(now time.Duration) { w.late(now, c) })
-	w.observer.CallStarted(CallStart{Connection: c.number, Address: w.address, Since: w.session.revision, Wait: call.Wait, Timeout: call.Limit})
+	c.timeout = w.deadlines.Set(now+call.Timeout, func(now time.Duration) { w.callTimedOut(now, c) })
+	w.observer.CallStarted(CallStart{Connection: c.number, Address: w.address, Since: w.session.revision, Wait: call.Wait,
+		Timeout: call.Timeout})
 	w.transport.Send(c.number, c.exchange.Call(w.session, call.Wait))
 }
 
-// late takes that a call has no answer within its limit: it stays open, and another one follows.
-func (w *Watcher) late(now time.Duration, c *connection) {
-	w.setOverdue(now, c)
-	w.follow(now, c, errNoAnswer, Silent)
+// callTimedOut handles a call without an answer within its timeout: it stays open, and another call follows.
+func (w *Watcher) callTimedOut(now time.Duration, c *connection) {
+	w.markOverdue(now, c)
+	w.scheduleRetry(now, c, errNoAnswer, FailureTimeout)
 }
 
-// failed takes that a call, or its connection, has come to nothing. One that was overdue has been followed by another.
-func (w *Watcher) failed(now time.Duration, c *connection, err error, how Failure) {
+// callFailed handles a failed call or connection. An overdue call has been followed by another one already.
+func (w *Watcher) callFailed(now time.Duration, c *connection, err error, kind FailureKind) {
 	w.drop(c)
 	if !c.overdue {
-		w.follow(now, c, err, how)
+		w.scheduleRetry(now, c, err, kind)
 	}
-	if w.turnedDown(c, err, how) {
-		w.unreachable(now)
+	if w.showsUnreachable(c, err, kind) {
+		w.discoveryUnreachable(now)
 	}
 }
 
-// follow has a call made again where the clock says so; else the observer hears, once, that the watch has broken.
-func (w *Watcher) follow(now time.Duration, c *connection, err error, how Failure) {
-	began := c.dialled
-	if c.waiting {
-		began = c.asked
+// scheduleRetry schedules the next call, or notifies the observer that the watch has stopped.
+func (w *Watcher) scheduleRetry(now time.Duration, c *connection, err error, kind FailureKind) {
+	startedAt := c.dialledAt
+	if c.awaitingAnswer {
+		startedAt = c.calledAt
 	}
-	again, after := w.Clock.Failed(how)
-	w.observer.CallFailed(now, CallFailure{Connection: c.number, Address: w.address, Err: err, Elapsed: now - began, Consecutive: w.fails,
-		Retries: again, RetryDelay: after, ShouldLog: w.First() || !again}) // danger: an agent that is silent through an outage would fill the log
-	if !again {
-		w.on = false
+	retry, delay := w.CallScheduler.CallFailed(kind)
+	// Not every failure is worth a log line: an agent that does not answer during an outage would fill the log.
+	w.observer.CallFailed(now, CallFailure{Connection: c.number, Address: w.address, Err: err, Elapsed: now - startedAt,
+		Consecutive: w.failures, Retries: retry, RetryDelay: delay, ShouldLog: w.FirstFailure() || !retry})
+	if !retry {
+		w.watching = false
 		w.observer.WatchStopped(now)
 		return
 	}
 	w.deadlines.Stop(w.retry)
-	w.retry = w.deadlines.Set(now+after, func(now time.Duration) {
-		if w.on && w.current() == nil {
+	w.retry = w.deadlines.Set(now+delay, func(now time.Duration) {
+		if w.watching && w.current() == nil {
 			w.dial(now)
 		}
 	})
 }
 
-// Connected takes that a connection is up.
+// Connected handles an established connection.
 func (w *Watcher) Connected(now time.Duration, number int) {
 	c := w.find(number)
 	switch {
 	case c == nil:
-	case c.overdue: // another call was answered before this one was made
+	case c.overdue: // another call was answered before this connection was established
 		w.drop(c)
 	default:
-		w.ask(now, c)
-		w.coverPoll(now, c)
+		w.sendCall(now, c)
+		w.coverLongPoll(now, c)
 	}
 }
 
-// Received takes bytes of an answer.
+// Received handles data of an answer.
 func (w *Watcher) Received(now time.Duration, number int, data []byte) {
 	if c := w.find(number); c != nil {
-		c.heard = true
-		w.take(now, c, data, false)
+		c.answerStarted = true
+		w.feed(now, c, data, false)
 	}
 }
 
-// Closed takes that a connection has ended, or never came up.
+// Closed handles a connection that was closed or could not be established.
 func (w *Watcher) Closed(now time.Duration, number int) {
 	c := w.find(number)
 	if c == nil {
 		return
 	}
-	// The end of a kept connection so soon after a call means that the two crossed: discovery was done with the
-	// connection, and the call was not seen. A pushed list's clock asks anew anyway.
-	crossed := c.waiting && c.calls > 1 && !c.heard && now-c.asked < crossingWindow && !w.Pushed
+	// If a kept-alive connection closes so soon after a call, discovery closed it before it received the call. If the
+	// list is pushed, the scheduler retries at once anyway.
+	closedByRace := c.awaitingAnswer && c.callsMade > 1 && !c.answerStarted && now-c.calledAt < keepAliveRaceWindow && !w.Pushed
 	switch {
-	case crossed:
-		w.Crossed()
+	case closedByRace:
+		w.CallResent()
 		w.observer.CallResent()
 		w.drop(c)
 		w.dial(now)
-	case c.waiting:
-		w.take(now, c, nil, true)
+	case c.awaitingAnswer:
+		w.feed(now, c, nil, true)
 	default:
-		how := Refused
-		if now-c.dialled >= c.dialLimit {
-			how = Silent
+		kind := FailureRefused
+		if now-c.dialledAt >= c.dialTimeout {
+			kind = FailureTimeout
 		}
-		w.failed(now, c, errOutOfReach, how)
+		w.callFailed(now, c, errUnreachable, kind)
 	}
 }
 
-// take takes a part of an answer, or the end of its connection.
-func (w *Watcher) take(now time.Duration, c *connection, data []byte, ended bool) {
+// feed handles data of an answer, or the end of its connection.
+func (w *Watcher) feed(now time.Duration, c *connection, data []byte, ended bool) {
 	list, keep, err := c.exchange.Feed(w.session, data, ended)
 	if err == nil && list == nil && ended {
-		err = errBrokeOff
+		err = errAnswerTruncated
 	}
 	if err != nil {
 		if !c.overdue {
-			w.older(now, err)
+			w.noteOlderList(now, err)
 		}
-		how := Refused
+		kind := FailureRefused
 		if errors.Is(err, ErrUnreadable) {
-			how = Unreadable
+			kind = FailureUnreadable
 		}
-		w.failed(now, c, err, how)
+		w.callFailed(now, c, err, kind)
 		return
 	}
 	if list != nil {
-		w.answered(now, c, list, keep)
+		w.handleList(now, c, list, keep)
 	}
 }
 
-// answered takes a list. The watch goes on where the first answer came, also that of an overdue call: a call that is under
-// way beside it stays open, as its answer may be newer, and its connection ends with that.
-func (w *Watcher) answered(now time.Duration, c *connection, list *List, keep bool) {
-	list.Told = w.toldSince(now, c)
-	other := w.current()
-	beside := other != nil && other != c
-	watched := beside && w.heardAt > c.asked // another call, made later, was answered before
-	w.heardAt, w.olderAt = now, 0
-	w.deadlines.Stop(c.limit)
+// handleList handles a received list. The watch continues on the connection whose call was answered first, even if that
+// call is overdue. Another open call stays open, because its answer may be newer; its connection closes after that.
+func (w *Watcher) handleList(now time.Duration, c *connection, list *List, keep bool) {
+	list.NotifiedAt = w.notifiedSince(now, c)
+	current := w.current()
+	concurrent := current != nil && current != c
+	laterCallAnswered := concurrent && w.answeredAt > c.calledAt // a call that was made later has been answered before
+	w.answeredAt, w.olderListSince = now, 0
+	w.deadlines.Stop(c.timeout)
 	w.deadlines.Stop(w.retry)
-	c.waiting = false
-	w.Answered()
-	w.on = true
+	c.awaitingAnswer = false
+	w.CallAnswered()
+	w.watching = true
 	switch {
-	case watched, beside && !keep:
+	case laterCallAnswered, concurrent && !keep:
 		w.drop(c)
-	case beside:
-		w.setOverdue(now, other)
-		w.ask(now, c)
+	case concurrent:
+		w.markOverdue(now, current)
+		w.sendCall(now, c)
 	case keep:
-		w.ask(now, c)
+		w.sendCall(now, c)
 	default:
 		w.drop(c)
 		w.dial(now)
 	}
 	w.observer.ListReceived(now, list)
-	w.renew(now)
+	w.renewLease(now)
 }
