--- a/internal/deadline/deadline.go
+++ b/internal/deadline/deadline.go
@@ -6,41 +6,41 @@
 	"time"
 )
 
-// Queue holds deadlines in order of time; those of one time fall due in the order in which they were set.
-// The zero value is an empty one.
+// Queue holds deadlines by time; deadlines of the same time run in the order in which they were set. The zero value is
+// an empty queue.
 type Queue struct {
-	heap entries
-	set  uint64
+	heap         deadlineHeap
+	lastSequence uint64
 }
 
-// Deadline is one entry of a Queue.
+// Deadline is an entry of a Queue.
 type Deadline struct {
-	at    time.Duration
-	order uint64
-	index int // in the heap; -1 once out of it
-	ended bool
-	due   func(now time.Duration)
+	at       time.Duration
+	sequence uint64
+	index    int // its index in the heap; -1 if it is not in it
+	stopped  bool
+	callback func(now time.Duration)
 }
 
-// Set adds a deadline. What is due is called by Run.
-func (q *Queue) Set(at time.Duration, due func(now time.Duration)) *Deadline {
-	q.set++
-	d := &Deadline{at: at, order: q.set, due: due}
+// Set adds a deadline. Run calls the callback once the time has come.
+func (q *Queue) Set(at time.Duration, callback func(now time.Duration)) *Deadline {
+	q.lastSequence++
+	d := &Deadline{at: at, sequence: q.lastSequence, callback: callback}
 	heap.Push(&q.heap, d)
 	return d
 }
 
-// Stop takes a deadline out, if it is still in; nil is none.
+// Stop removes a deadline if it has not run yet. A nil deadline is ignored.
 func (q *Queue) Stop(d *Deadline) {
 	if d == nil {
 		return
 	}
-	if d.ended = true; d.index >= 0 {
+	if d.stopped = true; d.index >= 0 {
 		heap.Remove(&q.heap, d.index)
 	}
 }
 
-// Next is the earliest deadline.
+// Next returns the time of the earliest deadline; ok is false if there is none.
 func (q *Queue) Next() (at time.Duration, ok bool) {
 	if len(q.heap) == 0 {
 		return 0, false
@@ -48,44 +48,44 @@
 	return q.heap[0].at, true
 }
 
-// Run calls what has fallen due. What is set meanwhile is not called before the next Run, so that a
-// deadline set for now by one that is due cannot keep the loop here.
+// Run calls the callbacks of all deadlines that are due. Deadlines set meanwhile are not run before the next call of
+// Run, so a callback that sets a deadline for the current time cannot keep the loop running.
 func (q *Queue) Run(now time.Duration) {
-	last := q.set
-	var later []*Deadline
+	lastBefore := q.lastSequence
+	var postponed []*Deadline
 	for len(q.heap) > 0 && q.heap[0].at <= now {
 		d := heap.Pop(&q.heap).(*Deadline)
-		if d.order > last {
-			later = append(later, d)
+		if d.sequence > lastBefore {
+			postponed = append(postponed, d)
 			continue
 		}
-		d.due(now)
+		d.callback(now)
 	}
-	for _, d := range later {
-		if !d.ended { // danger: stopped by what was due meanwhile, while it was out of the heap
+	for _, d := range postponed {
+		if !d.stopped { // another callback may have stopped it while it was out of the heap
 			heap.Push(&q.heap, d)
 		}
 	}
 }
 
-type entries []*Deadline
+type deadlineHeap []*Deadline
 
-func (e entries) Len() int { return len(e) }
-func (e entries) Less(i, j int) bool {
-	return e[i].at < e[j].at || e[i].at == e[j].at && e[i].order < e[j].order
+func (h deadlineHeap) Len() int { return len(h) }
+func (h deadlineHeap) Less(i, j int) bool {
+	return h[i].at < h[j].at || h[i].at == h[j].at && h[i].sequence < h[j].sequence
 }
-func (e entries) Swap(i, j int) {
-	e[i], e[j] = e[j], e[i]
-	e[i].index, e[j].index = i, j
+func (h deadlineHeap) Swap(i, j int) {
+	h[i], h[j] = h[j], h[i]
+	h[i].index, h[j].index = i, j
 }
-func (e *entries) Push(x any) {
+func (h *deadlineHeap) Push(x any) {
 	d := x.(*Deadline)
-	d.index = len(*e)
-	*e = append(*e, d)
+	d.index = len(*h)
+	*h = append(*h, d)
 }
-func (e *entries) Pop() any {
-	last := (*e)[len(*e)-1]
+func (h *deadlineHeap) Pop() any {
+	last := (*h)[len(*h)-1]
 	last.index = -1
-	*e = (*e)[:len(*e)-1]
+	*h = (*h)[:len(*h)-1]
 	return last
 }
--- a/internal/deadline/deadline_test.go
+++ b/internal/deadline/deadline_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestDeadlinesFallDueInOrder(t *testing.T) {
+func TestDeadlinesRunInOrder(t *testing.T) {
 	var q Queue
 	var got []string
 	set := func(at time.Duration, name string) *Deadline {
@@ -31,8 +31,9 @@
 	assert.False(t, ok)
 }
 
-// One that sets itself anew for now must not hold the loop; one that is due may stop another.
-func TestRunEnds(t *testing.T) {
+// A callback that sets a new deadline for the current time does not keep Run from returning. A callback may stop
+// another deadline that is due.
+func TestRunTerminates(t *testing.T) {
 	var q Queue
 	runs := 0
 	var again func(time.Duration)
@@ -47,14 +48,14 @@
 	assert.Equal(t, 2, runs)
 }
 
-// What is set for now while others fall due, and stopped by one of them, is not called by a later Run.
-func TestStoppedWhilePutOff(t *testing.T) {
+// A deadline set by a callback for the current time, and stopped by another callback, is not run by a later Run.
+func TestStoppedWhilePostponed(t *testing.T) {
 	var q Queue
-	var fresh *Deadline
+	var postponed *Deadline
 	q.Set(1, func(now time.Duration) {
-		fresh = q.Set(now-1, func(time.Duration) { t.Error("it was stopped") })
+		postponed = q.Set(now-1, func(time.Duration) { t.Error("it was stopped") })
 	})
-	q.Set(1, func(time.Duration) { q.Stop(fresh) })
+	q.Set(1, func(time.Duration) { q.Stop(postponed) })
 	q.Run(1)
 	q.Run(2)
 	_, ok := q.Next()
