--- a/internal/handover/handover_test.go
+++ b/internal/handover/handover_test.go
@@ -14,7 +14,7 @@
 	{Kind: KindEstablished, Server: "s-1 b", OpenLine: []byte("OPEN 1 a c=x,d=1\r\n"), FromClient: []byte("ha\n"), FromHost: []byte("l")},
 }
 
-func TestMessagesArriveAsSent(t *testing.T) {
+func TestMessagesRoundTrip(t *testing.T) {
 	for _, m := range messages {
 		got, err := Parse(m.Append(nil))
 		require.NoError(t, err)
@@ -23,8 +23,8 @@
 	assert.Equal(t, 2, messages[3].Descriptors())
 }
 
-// A process of another version, or something else, may speak: what makes no sense is no message.
-func TestWhatIsNoMessage(t *testing.T) {
+// The other process may run another version, or be something else: a malformed message is rejected.
+func TestMalformedMessagesAreRejected(t *testing.T) {
 	for _, text := range []string{"", "room 1 0 0 0 ", "room 1 0 0 0\n", "room -1 0 0 0 \n", "room x 0 0 0 \n", "stop 0 0 0 0 \n",
 		"front 0 0 5 0 \nabc", "front 0 0 -1 0 \nabc", "front 0 0 2 0 \nabc", "stand 0 9223372036854775807 9 9 s\n"} {
 		_, err := Parse([]byte(text))
