--- a/internal/scale/scale.go
+++ b/internal/scale/scale.go
@@ -1,5 +1,4 @@
-// Package scale decides what changes with the number of balancers that share a list of servers. It is pure: figures come
-// in, answers go out.
+// Package scale adapts decisions to the number of balancers that share a list of servers. Its functions are pure.
 package scale
 
 import (
@@ -8,40 +7,42 @@
 	"time"
 )
 
-// IsLargeFleet tells whether so many balancers share so many listed servers that what one holds of a server says next to nothing
-// of what that holds: there are more of them than servers, and more than a few.
-func IsLargeFleet(siblings, listed int) bool { return siblings > max(listed, few) }
+// IsLargeFleet reports whether so many balancers share the listed servers that the connections of one balancer to a
+// server say almost nothing about the server's load: there are more balancers than servers, and more than smallFleet.
+func IsLargeFleet(siblings, listed int) bool { return siblings > max(listed, smallFleet) }
 
-const few = 8
+const smallFleet = 8
 
-// IntervalFactor is by how much the intervals between questions to a server grow with the fleet. They were measured with up to
-// usualFleet balancers that all hold connections at it. Of many, those hold some that by our own part of the
-// connections it should have, on the mean, and all together ask it no more often.
-func IntervalFactor(siblings, standing, listed int) float64 {
-	holders := float64(siblings) * min(float64(standing)/float64(max(listed, 1)), 1)
-	return max(holders/usualFleet, 1)
+// IntervalFactor returns the factor by which the intervals between probes of a server grow with the fleet. The
+// intervals were measured with up to referenceFleet balancers that all had connections to the server. In a larger
+// fleet, the number of balancers with connections to a server is estimated from this balancer's mean number of
+// connections per server, and all of them together probe it no more often than referenceFleet balancers would.
+func IntervalFactor(siblings, established, listed int) float64 {
+	holders := float64(siblings) * min(float64(established)/float64(max(listed, 1)), 1)
+	return max(holders/referenceFleet, 1)
 }
 
-const usualFleet = 4
+const referenceFleet = 4
 
-// RateEstimator is how often requests come, at one that sees few: each counts less as time goes on.
+// RateEstimator estimates the rate of requests at a balancer that receives few. It is a counter with exponential decay.
 type RateEstimator struct {
-	seen     float64
-	at, from time.Duration // as of when, and when the first came
+	weightedCount        float64
+	updatedAt, startedAt time.Duration // the time of the last update, and of the first request
 }
 
-const spans = 10 // over which requests are counted
+const windowSpans = 10 // the time constant of the decay, in spans
 
-func fade(ago, span time.Duration) float64 {
-	return math.Exp(-ago.Seconds() / (spans * span).Seconds())
+func decay(elapsed, span time.Duration) float64 {
+	return math.Exp(-elapsed.Seconds() / (windowSpans * span).Seconds())
 }
 
 // Add counts a request.
 func (r *RateEstimator) Add(now, span time.Duration) {
-	r.seen, r.at, r.from = 1+r.seen*fade(now-r.at, span), now, cmp.Or(r.from, now)
+	r.weightedCount, r.updatedAt, r.startedAt = 1+r.weightedCount*decay(now-r.updatedAt, span), now, cmp.Or(r.startedAt, now)
 }
 
-// Rate is how many come in a span. Danger: counted over all spans, those of one that has just started would seem rare.
+// Rate returns the number of requests per span. It corrects for the time since the first request, because otherwise the
+// rate would be underestimated just after the start.
 func (r *RateEstimator) Rate(now, span time.Duration) float64 {
-	return r.seen / (1 + spans*(1-fade(now-r.from, span)))
+	return r.weightedCount / (1 + windowSpans*(1-decay(now-r.startedAt, span)))
 }
