--- a/internal/slot/slot.go
+++ b/internal/slot/slot.go
@@ -1,26 +1,25 @@
-// Package slot keeps things in numbered slots. A number carries the generation of its slot, so that one
-// that outlived its owner finds nothing.
+// Package slot stores values in numbered slots. An ID contains the generation of its slot, so a stale ID finds nothing.
 package slot
 
 import "iter"
 
-// ID is a slot's index and generation. The zero ID names nothing.
+// ID is a slot's index and generation. The zero ID is never in use.
 type ID uint64
 
 func (id ID) index() int { return int(uint32(id)) }
 
-// Table is a table of slots; the zero value is an empty one.
+// Table is a table of slots. The zero value is an empty table.
 type Table[T any] struct {
 	rows []row[T]
 	free []int
 }
 
 type row[T any] struct {
-	generation uint32 // odd while taken
+	generation uint32 // odd while the slot is in use
 	value      T
 }
 
-// Add takes a free slot for a value.
+// Add stores a value in a free slot.
 func (t *Table[T]) Add(value T) ID {
 	if len(t.free) == 0 {
 		t.free = append(t.free, len(t.rows))
@@ -34,7 +33,7 @@
 	return ID(r.generation)<<32 | ID(i)
 }
 
-// Get finds the value of a number; a stale one finds nothing.
+// Get returns the value of an ID; ok is false if the ID is stale.
 func (t *Table[T]) Get(id ID) (value T, ok bool) {
 	if i := id.index(); i < len(t.rows) && id>>32&1 == 1 && t.rows[i].generation == uint32(id>>32) {
 		return t.rows[i].value, true
@@ -42,7 +41,7 @@
 	return value, false
 }
 
-// Remove frees a slot; a stale number frees none.
+// Remove frees the slot of an ID. A stale ID is ignored.
 func (t *Table[T]) Remove(id ID) {
 	if _, ok := t.Get(id); ok {
 		r := &t.rows[id.index()]
@@ -52,10 +51,10 @@
 	}
 }
 
-// Len is how many slots are taken.
+// Len returns the number of slots in use.
 func (t *Table[T]) Len() int { return len(t.rows) - len(t.free) }
 
-// All yields what is in the table, in order of the slots. Values may be removed meanwhile.
+// All yields the values in the order of their slots. Values may be removed during the iteration.
 func (t *Table[T]) All() iter.Seq2[ID, T] {
 	return func(yield func(ID, T) bool) {
 		for i := range t.rows {
--- a/internal/slot/slot_test.go
+++ b/internal/slot/slot_test.go
@@ -6,13 +6,13 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestStaleNumbersFindNothing(t *testing.T) {
+func TestStaleIDsFindNothing(t *testing.T) {
 	var table Table[string]
 	_, ok := table.Get(0)
 	assert.False(t, ok, "zero names nothing")
 	a, b := table.Add("a"), table.Add("b")
 	table.Remove(a)
-	table.Remove(a) // frees nothing a second time
+	table.Remove(a) // a second removal frees nothing
 	c := table.Add("c")
 	assert.Equal(t, a.index(), c.index(), "the slot is used again")
 	_, ok = table.Get(a)
