--- a/internal/wallclock/starts.go
+++ b/internal/wallclock/starts.go
@@ -2,41 +2,43 @@
 
 import "time"
 
-// StartTimes tells when hosts have started, of which a list tells the wall clock's reading. One reading of a host keeps its
-// moment, whatever steps follow: another moment would be another start.
+// StartTimes converts the start times of hosts, which a host list gives as wall-clock readings. The result for a
+// reading of a host is kept whatever clock steps follow, because a different result would look like another start of
+// the host.
 type StartTimes struct {
-	clock *Clock
-	known map[string]start
+	clock  *Clock
+	byHost map[string]start
 }
 
-type start struct{ reading, moment time.Duration }
+type start struct{ reading, monotonic time.Duration }
 
-// NewStartTimes makes one that knows of no host.
+// NewStartTimes returns an empty StartTimes.
 func NewStartTimes(clock *Clock) *StartTimes {
-	return &StartTimes{clock: clock, known: map[string]start{}}
+	return &StartTimes{clock: clock, byHost: map[string]start{}}
 }
 
-// At is when a host started that is listed with a reading; 0 stays 0, which is long ago.
+// At returns the monotonic time at which a host started that is listed with a reading. It returns 0, for long ago, if
+// the reading is 0.
 func (s *StartTimes) At(now time.Duration, host string, reading time.Duration) time.Duration {
 	if reading <= 0 {
 		return reading
 	}
-	if known, ok := s.known[host]; ok && known.reading == reading {
-		return known.moment
+	if known, ok := s.byHost[host]; ok && known.reading == reading {
+		return known.monotonic
 	}
-	moment := s.clock.Moment(now, reading)
-	s.known[host] = start{reading, moment}
-	return moment
+	monotonic := s.clock.Monotonic(now, reading)
+	s.byHost[host] = start{reading, monotonic}
+	return monotonic
 }
 
-// Forget takes that a host is no longer listed.
-func (s *StartTimes) Forget(host string) { delete(s.known, host) }
+// Forget removes a host that is no longer listed.
+func (s *StartTimes) Forget(host string) { delete(s.byHost, host) }
 
-// RetainOnly forgets all hosts but those that are listed.
+// RetainOnly removes all hosts that are not listed.
 func (s *StartTimes) RetainOnly(listed func(host string) bool) {
-	for host := range s.known {
+	for host := range s.byHost {
 		if !listed(host) {
-			delete(s.known, host)
+			delete(s.byHost, host)
 		}
 	}
 }
--- a/internal/wallclock/wallclock.go
+++ b/internal/wallclock/wallclock.go
@@ -1,5 +1,5 @@
-// Package wallclock translates moments of the wall clock, which may be stepped forward or back at any time, into
-// readings of a clock that runs on. It is pure: readings come in as arguments.
+// Package wallclock converts wall-clock readings, which may be stepped forward or back at any time, to monotonic time.
+// It reads no clock itself: readings are passed in.
 package wallclock
 
 import (
@@ -8,62 +8,68 @@
 	"time"
 )
 
-// Clock remembers by how much the wall clock has been ahead of the running clock, and when. The running clock counts from
-// the wall clock's reading at the process's start, so the first of its eras is ahead by nothing.
+// Clock records the offset of the wall clock from the monotonic clock over time. The monotonic clock starts at the wall
+// clock's reading at the start of the process, so the offset of the first interval is 0.
 type Clock struct {
-	eras   []era
-	looked time.Duration
+	intervals  []interval
+	observedAt time.Duration
 }
 
-// era is a span of the running clock in which the wall clock was ahead of it by one amount. A step is noticed some time
-// after it was made, so the spans of two neighbours share the time between the two looks.
-type era struct {
+// interval is a span of monotonic time with a constant offset. A step is noticed some time after it was made, so two
+// neighbouring intervals overlap in the time between the two observations.
+type interval struct {
 	from, to time.Duration
-	ahead    time.Duration
+	offset   time.Duration
 }
 
-// leastStep is what counts as a step. The two clocks are not read in one instant, so they may differ by less.
-const leastStep = 100 * time.Millisecond
+// minStep is the smallest step. The two clocks are not read at the same instant, so their difference varies by less
+// than this.
+const minStep = 100 * time.Millisecond
 
-// mostEras bounds what is remembered. Of more the first is kept, which holds all that was before this process, and the
-// latest.
-const mostEras = 64
+// maxIntervals limits the intervals kept. Beyond it, the first one, which covers all time before this process, and the
+// latest ones are kept.
+const maxIntervals = 64
 
-// Bounds of what a reading can be, far enough from those of the type for sums.
+// Bounds of readings, far enough from the limits of the type that sums do not overflow.
 const earliest, latest = math.MinInt64 / 2, math.MaxInt64 / 2
 
-// New makes a clock that has seen no step.
+// New returns a clock that has observed no step.
 func New(now time.Duration) *Clock {
-	return &Clock{eras: []era{{from: earliest, to: latest}}, looked: now}
+	return &Clock{intervals: []interval{{from: earliest, to: latest}}, observedAt: now}
 }
 
-// Observe takes by how much the wall clock is ahead now, and tells by how much it was stepped since the last look.
-func (c *Clock) Observe(now, ahead time.Duration) (step time.Duration) {
-	last := &c.eras[len(c.eras)-1]
-	if step = ahead - last.ahead; step.Abs() < leastStep {
-		c.looked = now
+// Observe records the current offset of the wall clock, and returns by how much the clock was stepped since the last
+// observation.
+func (c *Clock) Observe(now, offset time.Duration) (step time.Duration) {
+	last := &c.intervals[len(c.intervals)-1]
+	if step = offset - last.offset; step.Abs() < minStep {
+		c.observedAt = now
 		return 0
 	}
 	last.to = now
-	c.eras = append(c.eras, era{from: c.looked, to: latest, ahead: ahead})
-	c.looked = now
-	if len(c.eras) > mostEras {
-		c.eras = slices.Delete(c.eras, 1, 2)
+	c.intervals = append(c.intervals, interval{from: c.observedAt, to: latest, offset: offset})
+	c.observedAt = now
+	if len(c.intervals) > maxIntervals {
+		c.intervals = slices.Delete(c.intervals, 1, 2)
 	}
 	return step
 }
 
-// WallTime is the wall clock's reading as of the last look.
-func (c *Clock) WallTime(now time.Duration) time.Duration { return now + c.eras[len(c.eras)-1].ahead }
+// WallTime returns the wall clock's reading, with the offset of the last observation.
+func (c *Clock) WallTime(now time.Duration) time.Duration {
+	return now + c.intervals[len(c.intervals)-1].offset
+}
 
-// Moment is the latest moment up to now at which the wall clock may have shown a reading; where it has never shown it, now.
-// A step back makes it show some readings twice, and what began then is never taken to be older than it is.
+// Monotonic returns the latest time up to now at which the wall clock may have shown a reading, or now if it has never
+// shown it. After a step back the clock shows some readings twice; taking the later time never makes anything appear
+// older than it is.
 //
-// What began between two steps that no look has separated, and what was read before this process started, on a clock that was stepped since, cannot be known from the reading alone.
-func (c *Clock) Moment(now, reading time.Duration) time.Duration {
-	for _, e := range slices.Backward(c.eras) {
-		at := reading - e.ahead
-		if at >= e.from-leastStep && at <= min(e.to, now)+leastStep {
+// The result may be wrong for an event between two steps without an observation between them, and for a reading from
+// before this process started, on a clock that has been stepped since: the reading alone does not determine their time.
+func (c *Clock) Monotonic(now, reading time.Duration) time.Duration {
+	for _, e := range slices.Backward(c.intervals) {
+		at := reading - e.offset
+		if at >= e.from-minStep && at <= min(e.to, now)+minStep {
 			return min(at, now)
 		}
 	}
