--- a/internal/discovery/mutation_test.go
+++ b/internal/discovery/mutation_test.go
@@ -109,7 +109,7 @@
 		for c := range mutation.Cases(run, mutation.Options{MaxPositions: 60}) {
 			cases++
 			h := feedAll(c.String(), c.Run)
-			h.client = newSessionClient("h", NoRevision) // as after a move, or after a failure that left no usable revision
+			h.client = newSessionClient("h", NoRevision) // as after a move or a failure without a usable revision
 			text, ends := wrap(finalList)
 			assert.False(t, h.feed(t, text, ends, rand.New(rand.NewPCG(3, 4))), c.String())
 			require.Equal(t, want, h.phases, c.String())
--- a/internal/discovery/scheduler_test.go
+++ b/internal/discovery/scheduler_test.go
@@ -133,7 +133,8 @@
 // After a failed call, the wait of a long poll does not extend the 6 s after which all changes count as notified: a
 // call that gets no answer is followed by another in time, whatever the kind of the failure before it.
 func TestTimeoutAfterAFailureIsDetectedInTime(t *testing.T) {
-	const notified, grace, answerTime = 6 * time.Second, 300 * ms, 150 * ms // answerTime is that of a discovery without faults
+	// answerTime is how long a discovery without faults takes to answer.
+	const notified, grace, answerTime = 6 * time.Second, 300 * ms, 150 * ms
 	for kind, name := range map[FailureKind]string{FailureRefused: "refused", FailureTimeout: "unanswered", FailureUnreadable: "unreadable"} {
 		for failures := 1; failures <= 6; failures++ {
 			scheduler := CallScheduler{Grace: grace}
@@ -182,7 +183,8 @@
 	scheduler.CallAnswered()
 	assert.Equal(t, longPollWait, scheduler.NextCall(false).Wait)
 
-	agent := CallScheduler{Pushed: true, Grace: time.Second, MinGrace: DefaultMinGrace} // an agent serves this machine only, but must not be called in a tight loop
+	// An agent serves this machine only, but must not be called in a tight loop.
+	agent := CallScheduler{Pushed: true, Grace: time.Second, MinGrace: DefaultMinGrace}
 	for range 20 {
 		retry, delay := agent.CallFailed(FailureRefused)
 		assert.True(t, retry)
