--- a/internal/handover/handover.go
+++ b/internal/handover/handover.go
@@ -16,7 +16,7 @@
 	KindDescriptorLimit Kind = "room"  // how many descriptors the other process may use
 	KindActivate        Kind = "lead"  // the other process is the active one from now on
 	KindIdleClient      Kind = "front" // passes on the socket of a client that has not sent OPEN yet
-	KindEstablished     Kind = "stand" // passes on the sockets of an established connection: the client's, then the desk host's
+	KindEstablished     Kind = "stand" // passes on both sockets of an established connection, the client's first
 )
 
 // MaxMessageSize is the size of the longest message in bytes.
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -46,13 +46,13 @@
 	Inherit(now time.Duration, request policy.Request, server string)
 	MayWrite(now time.Duration, id string) bool
 	ConnectionEstablished(now time.Duration, id string)
-	Outcome(now time.Duration, id string, result policy.Result, over bool)
+	Outcome(now time.Duration, id string, result policy.Result, finished bool)
 	ClientGone(now time.Duration, id string)
 	ConnectionMetric(now time.Duration, id string, kind policy.MetricKind, level float64)
 	ServerDelay(now time.Duration, server string, delay time.Duration)
 	ProbeResult(now time.Duration, server string, report policy.Report)
 	TakeOver(now time.Duration)
-	Wake(now time.Duration, name int64)
+	Wake(now time.Duration, id int64)
 }
 
 // Table holds all requests of a balancer.
