--- a/internal/cells/admission.go
+++ b/internal/cells/admission.go
@@ -7,109 +7,115 @@
 	"tealtiller/policy"
 )
 
-// leastAway is the least time that a client stays away whom a cell refused where nothing tells when there is room.
-const leastAway = 100 * time.Millisecond
+// minRetryAfter bounds the default retry time from below if no class has a longer set-up target.
+const minRetryAfter = 100 * time.Millisecond
 
-// Request takes a client's request: it goes to its cell's module, or where that is full to the one that it overflows
-// to, or is refused at once.
+// Request passes a client's request to its home cell. If that cell is at a limit or has no host in service, the request
+// goes to the overflow cell or is refused at once.
 func (f *Fleet) Request(now time.Duration, q policy.Request) {
 	c, from, misplaced := f.root, (*cell)(nil), false
 	if f.plan != nil {
-		home, other, since := f.plan.home(now, q.Tenant, q.Key)
-		c = f.named(home)
+		home, other, since := f.plan.resolveHome(now, q.Tenant, q.Key)
+		c = f.cellNamed(home)
 		if q.MidFlow {
-			c = f.holder(now, q.Key, c, other, since)
+			c = f.midFlowCell(now, q.Key, c, other, since)
 			misplaced = c.name != home
-		} else if wait, why := f.refusal(now, c); wait > 0 {
-			if from, c = c, f.overflow(now, c); c == nil {
-				*why++
-				f.host.Refuse(q.ID, wait+spread(q.ID, wait), policy.CellLimit)
+		} else if wait, refusals := f.checkLimits(now, c); wait > 0 {
+			if from, c = c, f.overflowTarget(now, c); c == nil {
+				*refusals++
+				f.host.Refuse(q.ID, wait+retryJitter(q.ID, wait), policy.CellLimit)
 				return
 			}
 		}
 	}
 	f.track(q, c, from, now).misplaced = misplaced
-	c.module.Request(now, q)
+	c.balancer.Request(now, q)
 }
 
-// holder is the cell in which a flight's mid-flow arrivals are tried first: of those where it may be established, the
-// one where most of its connections are that this balancer knows of; without any, the old cell until the connections had
-// time to follow their flight.
-func (f *Fleet) holder(now time.Duration, flight uint64, home *cell, other string, since time.Duration) *cell {
+// midFlowCell returns the cell in which a mid-flow request is tried first. Among the home cell, the other cell of a
+// move and the overflow cell, it is the one with the most connections of the flight that this balancer knows. If it
+// knows none, it is the other cell of the move until the connections have had time to follow their flight.
+func (f *Fleet) midFlowCell(now time.Duration, flight uint64, home *cell, other string, since time.Duration) *cell {
 	best := home
-	established := f.flights[flight]
+	established := f.flightConnections[flight]
 	if other != "" {
-		o := f.named(other)
-		recent := since > math.MinInt64 && now-since < f.follow(home.name, other)
-		if n := established[o]; n > established[home] || n == 0 && established[home] == 0 && recent {
-			best = o
+		otherCell := f.cellNamed(other)
+		recent := since > math.MinInt64 && now-since < f.followTime(home.name, other)
+		if n := established[otherCell]; n > established[home] || n == 0 && established[home] == 0 && recent {
+			best = otherCell
 		}
 	}
-	if to := home.limits.OverflowTo; to != "" && established[f.named(to)] > established[best] {
-		best = f.named(to)
+	if to := home.limits.OverflowTo; to != "" && established[f.cellNamed(to)] > established[best] {
+		best = f.cellNamed(to)
 	}
 	return best
 }
 
-// follow is how long connections take to follow their flight, as planned.
-func (f *Fleet) follow(a, b string) time.Duration {
+// followTime returns how long a move between two cells plans for connections to follow their flight.
+func (f *Fleet) followTime(a, b string) time.Duration {
 	for _, m := range f.plan.Moves {
 		if m.From == a && m.To == b || m.From == b && m.To == a {
-			return time.Duration(float64(m.Duration) * (1 - crossing))
+			return time.Duration(float64(m.Duration) * (1 - crossingShare))
 		}
 	}
 	return 0
 }
 
-// refusal tells whether a cell takes nothing new now, for how long about (0 if it does), and what would count it.
-func (f *Fleet) refusal(now time.Duration, c *cell) (wait time.Duration, why *int64) {
+// checkLimits checks a new connection against a cell's limits. If the cell accepts it, the result is 0, and the
+// connection counts towards MaxOpensPerSecond. Otherwise it returns the time after which to retry, and the counter of
+// such refusals.
+func (f *Fleet) checkLimits(now time.Duration, c *cell) (wait time.Duration, refusals *int64) {
 	switch {
-	case c.hosts == 0 && !f.set.GoneServersUsable: // else the module may know better than the list
-		return f.away(), &c.count.RefusedNoHost
-	case c.limits.MaxConnections > 0 && c.open >= f.part(c.limits.MaxConnections):
-		return f.away(), &c.count.RefusedFull
+	// With GoneServersUsable, the cell's balancer may still use hosts that the list calls gone, so it decides itself.
+	case c.hostsInService == 0 && !f.settings.GoneServersUsable:
+		return f.defaultRetryAfter(), &c.counts.RefusedNoHost
+	case c.limits.MaxConnections > 0 && c.open >= f.limitShare(c.limits.MaxConnections):
+		return f.defaultRetryAfter(), &c.counts.RefusedFull
 	case c.limits.MaxOpensPerSecond > 0:
-		if wait := c.due - now; wait > 0 {
-			return wait, &c.count.RefusedTooFast
+		if wait := c.nextOpenAt - now; wait > 0 {
+			return wait, &c.counts.RefusedTooFast
 		}
-		each := time.Duration(float64(time.Second) * float64(f.siblings()) / c.limits.MaxOpensPerSecond)
-		c.due = max(c.due+each, now+2*each-max(time.Second, each)) // a second's worth may come at once
+		interval := time.Duration(float64(time.Second) * float64(f.siblings()) / c.limits.MaxOpensPerSecond)
+		// Bursts of up to one second's quota are accepted.
+		c.nextOpenAt = max(c.nextOpenAt+interval, now+2*interval-max(time.Second, interval))
 	}
 	return 0, nil
 }
 
-// away is how long a client stays away where nothing tells when there is room.
-func (f *Fleet) away() time.Duration {
-	longest := leastAway
-	for _, c := range f.set.Classes {
+// defaultRetryAfter returns the retry time for refusals where the time at which the cell has capacity again is unknown.
+func (f *Fleet) defaultRetryAfter() time.Duration {
+	longest := minRetryAfter
+	for _, c := range f.settings.Classes {
 		longest = max(longest, c.SetupTarget)
 	}
 	return 2 * longest
 }
 
-// spread is a part of a span by chance, the same for the same request.
-func spread(id string, span time.Duration) time.Duration {
-	return time.Duration(unit(id, "") * float64(span))
+// retryJitter returns a pseudo-random part of maxJitter that is the same for the same request.
+func retryJitter(id string, maxJitter time.Duration) time.Duration {
+	return time.Duration(unitHash(id, "") * float64(maxJitter))
 }
 
-// part is this balancer's part of a limit of the whole fleet; together they may be over it by one each.
-func (f *Fleet) part(limit int) int {
+// limitShare returns this balancer's share of a fleet-wide limit, rounded up: each balancer may add up to one to the
+// total.
+func (f *Fleet) limitShare(limit int) int {
 	n := f.siblings()
 	return (limit + n - 1) / n
 }
 
-// overflow is the cell that takes what its own cannot; nil if none does. Guests go no further.
-func (f *Fleet) overflow(now time.Duration, from *cell) *cell {
+// overflowTarget returns the cell that accepts a request which cell from cannot take, or nil if there is none. Overflow
+// is not transitive: if the target cannot take the request either, it is refused.
+func (f *Fleet) overflowTarget(now time.Duration, from *cell) *cell {
 	if from.limits.OverflowTo == "" {
 		return nil
 	}
-	to := f.named(from.limits.OverflowTo)
-	if to.guests >= f.part(to.limits.MaxGuests) || to.limits.MaxGuests == 0 {
+	to := f.cellNamed(from.limits.OverflowTo)
+	if to.guests >= f.limitShare(to.limits.MaxGuests) || to.limits.MaxGuests == 0 {
 		return nil
 	}
-	if wait, _ := f.refusal(now, to); wait > 0 {
+	if wait, _ := f.checkLimits(now, to); wait > 0 {
 		return nil
 	}
-	from.count.Overflowed++
+	from.counts.Overflowed++
 	return to
 }
--- a/internal/cells/check.go
+++ b/internal/cells/check.go
@@ -7,10 +7,10 @@
 	"time"
 )
 
-// Problem is what is wrong with a plan: the block and attribute at fault, as the operator's file names them.
+// Problem is one error in a plan. Block, Label and Attribute locate it by the names used in the operator's file.
 type Problem struct {
-	Block, Label string // "" for the plan itself
-	Attribute    string // "" for the whole block
+	Block, Label string // empty if the error concerns the plan itself
+	Attribute    string // empty if the error concerns the whole block
 	Reason       string
 }
 
@@ -18,122 +18,125 @@
 	return strings.TrimSpace(fmt.Sprintf("%s %s %s", p.Block, p.Label, p.Attribute)) + ": " + p.Reason
 }
 
-// Bounds of a plan: each cell has a decision module of its own, in each balancer's memory; each request is compared
-// with all ranges of flights.
-const mostCells, mostFlights = 256, 1024
+// maxCells bounds the memory of a balancer, which holds a policy.Balancer for each cell.
+const maxCells = 256
 
-// Bounds of single figures.
+// maxFlightRanges bounds the time per request, as each is compared with all flight ranges.
+const maxFlightRanges = 1024
+
+// Bounds of single values.
 const (
-	mostKeep       = 24 * time.Hour
-	leastSpan      = time.Second
-	mostSpan       = 7 * 24 * time.Hour
-	mostPerSecond  = 1e9
-	mostNameLength = 40
-	shareTolerance = 1e-9 // by which rounding may take the sum of all shares over 1
+	maxAbsentRetention = 24 * time.Hour
+	minMoveDuration    = time.Second
+	maxMoveDuration    = 7 * 24 * time.Hour
+	maxPerSecond       = 1e9
+	maxNameLength      = 40
+	shareTolerance     = 1e-9 // rounding error allowed when shares are summed
 )
 
-// Validate tells everything that is wrong with a plan.
+// Validate returns all errors in a plan.
 func (p *Plan) Validate() (all []Problem) {
 	if len(p.Cells) == 0 {
 		if len(p.Moves) > 0 {
-			all = append(all, Problem{"move", p.Moves[0].Carrier, "", "there are no cells"})
+			all = append(all, Problem{"move", p.Moves[0].Carrier, "", "the plan has moves but no cells"})
 		}
 		return all
 	}
-	c := &checker{plan: p, names: map[string]*Cell{}, carriers: map[string]string{}, numbers: map[int]string{},
+	c := &validator{plan: p, cellsByName: map[string]*Cell{}, carriers: map[string]string{}, numbers: map[int]string{},
 		rooms: map[string]string{}, kinds: map[string]string{}, ids: map[string]string{}}
-	if len(p.Cells) > mostCells {
-		c.say("", "", "", "%d cells; at most %d", len(p.Cells), mostCells)
+	if len(p.Cells) > maxCells {
+		c.report("", "", "", "too many cells: %d; at most %d", len(p.Cells), maxCells)
 	}
 	for i := range p.Cells {
-		c.cell(&p.Cells[i])
+		c.checkCell(&p.Cells[i])
 	}
-	c.whole()
+	c.checkPlan()
 	for i := range p.Cells {
-		c.overflow(&p.Cells[i])
+		c.checkOverflow(&p.Cells[i])
 	}
 	moved := map[string]bool{}
 	for i := range p.Moves {
-		c.move(&p.Moves[i], moved)
+		c.checkMove(&p.Moves[i], moved)
 	}
-	return c.all
+	return c.problems
 }
 
-// checker collects problems, and what is taken already by the cells that it has seen.
-type checker struct {
-	plan   *Plan
-	all    []Problem
-	names  map[string]*Cell
-	shares float64
-	// the cell that names each
+// validator collects the errors of a plan, and what the cells checked so far have claimed.
+type validator struct {
+	plan        *Plan
+	problems    []Problem
+	cellsByName map[string]*Cell
+	shares      float64
+	// The name of the cell that claimed each:
 	carriers, rooms, kinds, ids map[string]string
 	numbers                     map[int]string
 	flights                     []ownedRange
 }
 
-// ownedRange is a range of flights and the cell that names it.
+// ownedRange is a flight range and the name of the cell that lists it.
 type ownedRange struct {
 	FlightRange
 	cell string
 }
 
-func (c *checker) say(block, label, attribute, format string, args ...any) {
-	c.all = append(c.all, Problem{block, label, attribute, fmt.Sprintf(format, args...)})
+func (c *validator) report(block, label, attribute, format string, args ...any) {
+	c.problems = append(c.problems, Problem{block, label, attribute, fmt.Sprintf(format, args...)})
 }
 
-// whole checks what concerns the plan itself, once all cells have been seen.
-func (c *checker) whole() {
+// checkPlan checks the plan's own attributes and the totals over all cells; it runs after all calls of checkCell.
+func (c *validator) checkPlan() {
 	p := c.plan
-	if len(c.flights) > mostFlights {
-		c.say("", "", "", "%d keys or ranges of flights; at most %d", len(c.flights), mostFlights)
+	if len(c.flights) > maxFlightRanges {
+		c.report("", "", "", "too many flight keys and ranges: %d; at most %d", len(c.flights), maxFlightRanges)
 	}
 	if p.Default == "" {
-		c.say("", "", "default", "no default cell is named")
-	} else if c.names[p.Default] == nil {
-		c.say("", "", "default", "there is no cell %q", p.Default)
+		c.report("", "", "default", "a default cell is required")
+	} else if c.cellsByName[p.Default] == nil {
+		c.report("", "", "default", "unknown cell %q", p.Default)
 	}
 	if !isShare(p.Slack) {
-		c.say("", "", "slack", "want a figure from 0 to 1")
+		c.report("", "", "slack", "must be between 0 and 1")
 	}
-	if p.AbsentRetention < 0 || p.AbsentRetention > mostKeep {
-		c.say("", "", "keep", "want a span of 0s to 24h")
+	if p.AbsentRetention < 0 || p.AbsentRetention > maxAbsentRetention {
+		c.report("", "", "keep", "must be a duration between 0s and 24h")
 	}
 	if c.shares > 1+shareTolerance {
-		c.say("cell", p.Cells[len(p.Cells)-1].Name, "share", "the shares of all cells come to %.4g, over 1", c.shares)
+		c.report("cell", p.Cells[len(p.Cells)-1].Name, "share", "the shares of all cells add up to %.4g, more than 1", c.shares)
 	}
 }
 
-// move checks one move; moved has the carriers of those before it.
-func (c *checker) move(m *Move, moved map[string]bool) {
-	say := func(attribute, format string, args ...any) { c.say("move", m.Carrier, attribute, format, args...) }
+// checkMove checks one move; moved holds the carriers of the moves before it.
+func (c *validator) checkMove(m *Move, moved map[string]bool) {
+	report := func(attribute, format string, args ...any) { c.report("move", m.Carrier, attribute, format, args...) }
 	if moved[m.Carrier] {
-		say("", "a second move of this carrier")
+		report("", "duplicate move of this carrier")
 	}
 	moved[m.Carrier] = true
 	home := cmp.Or(c.carriers[m.Carrier], c.plan.Default)
 	switch {
-	case c.names[m.From] == nil:
-		say("from", "there is no cell %q", m.From)
+	case c.cellsByName[m.From] == nil:
+		report("from", "unknown cell %q", m.From)
 	case home != m.From:
-		say("from", "carrier %q is in cell %q", m.Carrier, home)
+		report("from", "carrier %q is in cell %q", m.Carrier, home)
 	}
-	if c.names[m.To] == nil {
-		say("to", "there is no cell %q", m.To)
+	if c.cellsByName[m.To] == nil {
+		report("to", "unknown cell %q", m.To)
 	} else if m.To == m.From {
-		say("to", "from and to are the same cell")
+		report("to", "must not be the same cell as from")
 	}
-	if m.Duration < leastSpan || m.Duration > mostSpan {
-		say("span", "want a span of 1 s to 168 h")
+	if m.Duration < minMoveDuration || m.Duration > maxMoveDuration {
+		report("span", "must be a duration between 1s and 168h")
 	}
 	if !isRate(m.MaxPerSecond) {
-		say("pace", "want a figure above 0")
+		report("pace", "must be greater than 0")
 	}
 	if m.ReturnStart != 0 && m.ReturnStart <= m.Start {
-		say("back", "it is not after the start")
+		report("back", "must be later than start")
 	}
 }
 
-// isShare and isRate are false for what is not a number.
+// isShare reports whether x is in the range of a share; it is false for NaN.
 func isShare(x float64) bool { return x >= 0 && x <= 1 }
 
-func isRate(x float64) bool { return x >= 0 && x < mostPerSecond }
+// isRate reports whether x is in the range of a rate; it is false for NaN.
+func isRate(x float64) bool { return x >= 0 && x < maxPerSecond }
--- a/internal/cells/fleet.go
+++ b/internal/cells/fleet.go
@@ -10,111 +10,114 @@
 	"tealtiller/policy"
 )
 
-// Fleet is the decision modules of all cells behind one interface, that of a single policy.Balancer. Each cell has a
-// module of its own, told only of the cell's endpoints: its ranking is the exact one of that list, and neither its outlier
-// detection nor its refusals know of another cell's trouble. What belongs to a request or to an endpoint does not
-// multiply: a request is in one module at a time and takes its attempts along, an endpoint is in one cell and loses its
-// slow-start budget with a change, the retry budget is split, and one module alone watches discovery.
+// Fleet puts the balancers of all cells behind the interface of a single policy.Balancer. Each cell has a
+// policy.Balancer of its own that knows only the cell's hosts: it ranks exactly those, and neither its outlier
+// detection nor its refusals are affected by the failures of another cell. Budgets do not multiply with the number of
+// cells: a request is in one balancer at a time and keeps its attempt count when it changes cells, a host is in one
+// cell and loses its slow-start budget when reassigned, the retry budget is divided, and only one balancer watches
+// discovery.
 type Fleet struct {
-	set     policy.Settings
-	seed    uint64
-	host    policy.Host
-	plan    *Plan
-	root    *cell   // always there; it alone watches discovery, and without a plan it has all
-	cells   []*cell // those of the plan in its order, the root among them where it has a name
-	numbers map[int64]*cell
-	next    int64
-	listed  map[string]policy.Server
-	left    map[string]absent // endpoints that have left the list, while their place is kept
-	dealAt  time.Duration     // when the first of them is given up
-	owners  map[string]*cell  // of listed endpoints
-	entries map[string]*tracked
-	flights map[uint64]map[*cell]int // where a flight's connections are established
-	movers  map[string][]*tracked    // established connections by carrier
-	tickAt  time.Duration
-	credit  map[string]float64 // of moves, by carrier
-	paused  map[string]bool
-	ticked  time.Duration
-	// until when the list may be used; 0 for ever
-	leaseUntil time.Duration
+	settings           policy.Settings
+	seed               uint64
+	host               policy.Host
+	plan               *Plan
+	root               *cell   // always exists; the only one to watch discovery; without a plan it has all hosts
+	cells              []*cell // the plan's cells in their order, including root if it has a name
+	cellsByNumber      map[int64]*cell
+	nextNumber         int64
+	listedHosts        map[string]policy.Server
+	absentHosts        map[string]absentHost // hosts that left the list within AbsentRetention
+	reassignAt         time.Duration         // when the first of absentHosts expires; 0: no timer is set
+	cellOfHost         map[string]*cell      // by id, for listed hosts
+	requests           map[string]*trackedRequest
+	flightConnections  map[uint64]map[*cell]int     // number of established connections by flight and cell
+	carrierConnections map[string][]*trackedRequest // established connections by carrier
+	moveTickAt         time.Duration                // when runMoves is due; 0: no timer is set
+	moveCredit         map[string]float64           // MOVE lines that the pace allows, by carrier
+	movePaused         map[string]bool              // by carrier: the target cell has no host in service
+	lastMoveTick       time.Duration
+	leaseUntil         time.Duration // when the lease of the host list ends; 0: it does not expire
 }
 
+// cell is the runtime state of one cell.
 type cell struct {
-	fleet  *Fleet
-	name   string
-	number int64
-	limits Cell
-	module *policy.Balancer
-	hosts  int // listed and neither draining nor gone
-	open   int // requests and connections, guests included
-	stands int // established connections
-	guests int
-	due    time.Duration // when the next open fits OpensPerSecond
-	count  Counts
+	fleet          *Fleet
+	name           string
+	number         int64
+	limits         Cell
+	balancer       *policy.Balancer
+	hostsInService int // listed and neither draining nor gone
+	open           int // pending requests and established connections, including guests
+	established    int
+	guests         int           // requests and connections that overflowed from other cells
+	nextOpenAt     time.Duration // when MaxOpensPerSecond next allows a new connection
+	counts         Counts
 }
 
-// absent is an endpoint that has left the list, and until when its place is kept.
-type absent struct {
+// absentHost is a host that has left the list but counts in the assignment until the given time.
+type absentHost struct {
 	policy.Server
 	until time.Duration
 }
 
-// New makes a Fleet; plan may be nil.
-func New(set policy.Settings, seed uint64, host policy.Host, plan *Plan) *Fleet {
-	f := &Fleet{set: set, seed: seed, host: host, numbers: map[int64]*cell{}, listed: map[string]policy.Server{}, left: map[string]absent{},
-		owners: map[string]*cell{}, entries: map[string]*tracked{}, flights: map[uint64]map[*cell]int{},
-		movers: map[string][]*tracked{}, credit: map[string]float64{}, paused: map[string]bool{}}
-	f.root = f.add("")
+// New returns a Fleet; a nil plan means no cells.
+func New(settings policy.Settings, seed uint64, host policy.Host, plan *Plan) *Fleet {
+	f := &Fleet{settings: settings, seed: seed, host: host, cellsByNumber: map[int64]*cell{},
+		listedHosts: map[string]policy.Server{}, absentHosts: map[string]absentHost{},
+		cellOfHost: map[string]*cell{}, requests: map[string]*trackedRequest{}, flightConnections: map[uint64]map[*cell]int{},
+		carrierConnections: map[string][]*trackedRequest{}, moveCredit: map[string]float64{}, movePaused: map[string]bool{}}
+	f.root = f.addCell("")
 	f.cells = []*cell{f.root}
 	if plan != nil && len(plan.Cells) > 0 {
-		f.arrange(plan)
-		f.adopt()
+		f.applyPlan(plan)
+		f.applySettings()
 	}
 	return f
 }
 
-// add makes a cell. The first one's module has the balancer's own seed, as it would have without cells.
-func (f *Fleet) add(name string) *cell {
-	c := &cell{fleet: f, name: name, number: f.next}
-	f.next++
-	f.numbers[c.number] = c
+// addCell adds a cell. The first one uses the seed unchanged, so that a Fleet without a plan decides as a single
+// policy.Balancer would.
+func (f *Fleet) addCell(name string) *cell {
+	c := &cell{fleet: f, name: name, number: f.nextNumber}
+	f.nextNumber++
+	f.cellsByNumber[c.number] = c
 	seed := f.seed
 	if c.number > 0 {
 		h := fnv.New64a()
 		_, _ = h.Write([]byte(name))
 		seed ^= SplitMix64(h.Sum64())
 	}
-	c.module = policy.New(f.settings(c), seed, c)
-	c.module.Lease(0, f.leaseUntil)
+	c.balancer = policy.New(f.cellSettings(c), seed, c)
+	c.balancer.Lease(0, f.leaseUntil)
 	return c
 }
 
-// settings are a cell's: the retry budget is split, and one cell alone asks for the list.
-func (f *Fleet) settings(c *cell) policy.Settings {
-	set := f.set
+// cellSettings returns the settings of one cell: the retry budget is divided, and only the root watches discovery.
+func (f *Fleet) cellSettings(c *cell) policy.Settings {
+	settings := f.settings
 	if n := len(f.cells); n > 1 {
-		set.RetryBudgetBase /= float64(n)
+		settings.RetryBudgetBase /= float64(n)
 	}
 	if c != f.root && f.root != nil {
-		set.MustWatch = false
+		settings.MustWatch = false
 	}
-	return set
+	return settings
 }
 
-func (f *Fleet) adopt() {
-	for _, c := range f.numbers {
-		c.module.ApplySettings(f.settings(c))
+func (f *Fleet) applySettings() {
+	for _, c := range f.cellsByNumber {
+		c.balancer.ApplySettings(f.cellSettings(c))
 	}
 }
 
-// ApplySettings takes other settings from now on.
-func (f *Fleet) ApplySettings(set policy.Settings) {
-	f.set = set
-	f.adopt()
+// ApplySettings replaces the settings of all cells.
+func (f *Fleet) ApplySettings(settings policy.Settings) {
+	f.settings = settings
+	f.applySettings()
 }
 
-// named is the plan's cell of a name, else the root.
-func (f *Fleet) named(name string) *cell {
+// cellNamed returns the plan's cell of the given name, or the root if there is none.
+func (f *Fleet) cellNamed(name string) *cell {
 	for _, c := range f.cells {
 		if c.name == name {
 			return c
@@ -123,17 +126,17 @@
 	return f.root
 }
 
-// inOrder is all cells, those of earlier plans included, in an order that does not depend on chance.
-func (f *Fleet) inOrder() []*cell {
-	return slices.SortedFunc(maps.Values(f.numbers), func(a, b *cell) int { return cmp.Compare(a.number, b.number) })
+// sortedCells returns all cells, including those of earlier plans, in a deterministic order.
+func (f *Fleet) sortedCells() []*cell {
+	return slices.SortedFunc(maps.Values(f.cellsByNumber), func(a, b *cell) int { return cmp.Compare(a.number, b.number) })
 }
 
-// TakeOver tells that this process takes over from another one of its balancer.
+// TakeOver is called when this process takes over from another process of the same balancer.
 func (f *Fleet) TakeOver(now time.Duration) {
-	for _, c := range f.inOrder() {
-		c.module.TakeOver(now)
+	for _, c := range f.sortedCells() {
+		c.balancer.TakeOver(now)
 	}
 }
 
-// siblings is how many balancers share the limits of the whole fleet, this one included.
-func (f *Fleet) siblings() int { return max(f.set.Siblings, 1) }
+// siblings returns the number of balancers that share the fleet-wide limits, including this one.
+func (f *Fleet) siblings() int { return max(f.settings.Siblings, 1) }
--- a/internal/cells/list.go
+++ b/internal/cells/list.go
@@ -9,140 +9,144 @@
 	"tealtiller/policy"
 )
 
-// Members tells what is new of the endpoint list.
+// Members applies an update of the host list.
 func (f *Fleet) Members(now time.Duration, kind policy.MembersKind, entries []policy.Server) {
 	if kind == policy.WatchFailed {
-		f.root.module.Members(now, kind, nil)
+		f.root.balancer.Members(now, kind, nil)
 		return
 	}
 	if f.plan == nil {
-		f.root.module.Members(now, kind, entries)
-		f.record(now, kind, entries)
+		f.root.balancer.Members(now, kind, entries)
+		f.recordList(now, kind, entries)
 		return
 	}
-	redealt := f.redealt(kind, entries)
-	f.record(now, kind, entries)
-	if redealt {
-		f.deal(now)
+	reassign := f.needsReassignment(kind, entries)
+	f.recordList(now, kind, entries)
+	if reassign {
+		f.reassignHosts(now)
 	}
 	f.scheduleMoves(now, now)
-	parts := f.split(kind, entries)
-	for _, c := range f.inOrder() {
+	parts := f.splitByCell(kind, entries)
+	for _, c := range f.sortedCells() {
 		if part := parts[c]; len(part) > 0 || kind != policy.Delta || c == f.root {
-			c.module.Members(now, kind, part)
+			c.balancer.Members(now, kind, part)
 		}
 	}
-	f.countHosts()
+	f.countHostsInService()
 }
 
-// split gives each entry to its cell. A change that has an endpoint gone is for all cells, as any may know it.
-func (f *Fleet) split(kind policy.MembersKind, entries []policy.Server) map[*cell][]policy.Server {
+// splitByCell groups list entries by cell. In a delta, an entry that is gone goes to all cells, as any of them may
+// still know the host.
+func (f *Fleet) splitByCell(kind policy.MembersKind, entries []policy.Server) map[*cell][]policy.Server {
 	parts := map[*cell][]policy.Server{}
 	for _, e := range entries {
 		if kind == policy.Delta && e.State == policy.Gone {
-			for _, c := range f.numbers {
+			for _, c := range f.cellsByNumber {
 				parts[c] = append(parts[c], e)
 			}
 			continue
 		}
-		if c := f.owners[e.ID]; c != nil {
+		if c := f.cellOfHost[e.ID]; c != nil {
 			parts[c] = append(parts[c], e)
 		}
 	}
 	return parts
 }
 
-// redealt tells whether a list has an endpoint come or go, or changes what the assignment depends on.
-func (f *Fleet) redealt(kind policy.MembersKind, entries []policy.Server) bool {
+// needsReassignment reports whether a list update adds or removes a host or changes a property that the assignment
+// depends on.
+func (f *Fleet) needsReassignment(kind policy.MembersKind, entries []policy.Server) bool {
 	for _, e := range entries {
-		was, known := f.listed[e.ID]
-		if e.State == policy.Gone != !known || known && (was.Cell != e.Cell || was.Zone != e.Zone || was.Kind != e.Kind) {
+		previous, known := f.listedHosts[e.ID]
+		if e.State == policy.Gone != !known ||
+			known && (previous.Cell != e.Cell || previous.Zone != e.Zone || previous.Kind != e.Kind) {
 			return true
 		}
 	}
-	return kind != policy.Delta && len(entries) != len(f.listed)
+	return kind != policy.Delta && len(entries) != len(f.listedHosts)
 }
 
-// record keeps the list as told.
-func (f *Fleet) record(now time.Duration, kind policy.MembersKind, entries []policy.Server) {
-	before := f.listed
+// recordList updates listedHosts and absentHosts from a list update.
+func (f *Fleet) recordList(now time.Duration, kind policy.MembersKind, entries []policy.Server) {
+	previous := f.listedHosts
 	if kind != policy.Delta {
-		f.listed = make(map[string]policy.Server, len(entries))
+		f.listedHosts = make(map[string]policy.Server, len(entries))
 	}
 	for _, e := range entries {
 		if e.State != policy.Gone {
-			f.listed[e.ID] = e
-			delete(f.left, e.ID)
-		} else if s, ok := before[e.ID]; ok {
-			f.reserve(now, s)
-			delete(f.listed, e.ID)
+			f.listedHosts[e.ID] = e
+			delete(f.absentHosts, e.ID)
+		} else if s, ok := previous[e.ID]; ok {
+			f.retainAbsent(now, s)
+			delete(f.listedHosts, e.ID)
 		}
 	}
 	if kind == policy.Delta {
 		return
 	}
-	for id, s := range before {
-		if _, ok := f.listed[id]; !ok {
-			f.reserve(now, s)
+	for id, s := range previous {
+		if _, ok := f.listedHosts[id]; !ok {
+			f.retainAbsent(now, s)
 		}
 	}
 }
 
-// reserve keeps the place of an endpoint that is gone.
-func (f *Fleet) reserve(now time.Duration, s policy.Server) {
-	delete(f.owners, s.ID)
+// retainAbsent removes a host that has left the list from its cell, and keeps counting it in the assignment for
+// AbsentRetention.
+func (f *Fleet) retainAbsent(now time.Duration, s policy.Server) {
+	delete(f.cellOfHost, s.ID)
 	if f.plan != nil && f.plan.AbsentRetention > 0 {
-		f.left[s.ID] = absent{s, now + f.plan.AbsentRetention}
+		f.absentHosts[s.ID] = absentHost{s, now + f.plan.AbsentRetention}
 	}
 }
 
-// deal assigns each listed endpoint to its cell. One that changes its cell is taken from the old one's module at once,
-// so that never two send to it, and comes to the new one with its slow-start budget spent.
-func (f *Fleet) deal(now time.Duration) {
-	hosts := slices.AppendSeq(f.reserved(now), maps.Values(f.listed))
-	slices.SortFunc(hosts, byID)
-	var dealt map[string]string
+// reassignHosts assigns each listed host to a cell. A host that changes its cell is removed from the old cell's
+// balancer at once, so that two balancers never send to it, and joins the new one with its slow-start budget spent.
+func (f *Fleet) reassignHosts(now time.Duration) {
+	hosts := slices.AppendSeq(f.retainedHosts(now), maps.Values(f.listedHosts))
+	slices.SortFunc(hosts, compareIDs)
+	var cellNames map[string]string
 	if f.plan != nil {
-		dealt = f.plan.AssignHosts(hosts)
+		cellNames = f.plan.AssignHosts(hosts)
 	}
 	moved := 0
 	for _, s := range hosts {
-		if _, listed := f.listed[s.ID]; !listed {
+		if _, listed := f.listedHosts[s.ID]; !listed {
 			continue
 		}
 		to := f.root
 		if f.plan != nil {
-			to = f.named(dealt[s.ID])
+			to = f.cellNamed(cellNames[s.ID])
 		}
-		if f.assign(now, s, to) {
+		if f.assignHost(now, s, to) {
 			moved++
 		}
 	}
 	if moved > 0 {
-		f.host.Log(fmt.Sprintf("cells: %d of %d desk hosts changed their cell", moved, len(f.listed)))
+		f.host.Log(fmt.Sprintf("cells: %d of %d desk hosts reassigned to another cell", moved, len(f.listedHosts)))
 	}
 }
 
-// assign gives an endpoint to a cell, and tells whether it was in another one before.
-func (f *Fleet) assign(now time.Duration, s policy.Server, to *cell) (moved bool) {
-	from := f.owners[s.ID]
-	f.owners[s.ID] = to
+// assignHost assigns a host to a cell, and reports whether it was in another one before.
+func (f *Fleet) assignHost(now time.Duration, s policy.Server, to *cell) (moved bool) {
+	from := f.cellOfHost[s.ID]
+	f.cellOfHost[s.ID] = to
 	if from == nil || from == to {
 		return false
 	}
-	from.module.RemoveServer(s.ID)
-	to.module.AddServer(now, s)
+	from.balancer.RemoveServer(s.ID)
+	to.balancer.AddServer(now, s)
 	return true
 }
 
-// reserved is the endpoints that have left the list and whose place is still kept, in no order; it asks to be woken when
-// the first of these places is given up.
-func (f *Fleet) reserved(now time.Duration) []policy.Server {
+// retainedHosts returns the hosts that have left the list within AbsentRetention, in no particular order. It drops
+// expired ones, and sets a timer for the next to expire.
+func (f *Fleet) retainedHosts(now time.Duration) []policy.Server {
 	var hosts []policy.Server
 	next := time.Duration(0)
-	for id, a := range f.left {
+	for id, a := range f.absentHosts {
 		if a.until <= now {
-			delete(f.left, id)
+			delete(f.absentHosts, id)
 			continue
 		}
 		hosts = append(hosts, a.Server)
@@ -150,21 +154,21 @@
 			next = a.until
 		}
 	}
-	if next > 0 && (f.dealAt == 0 || next < f.dealAt) {
-		f.dealAt = next
-		f.host.Wake(next, timerDeal)
+	if next > 0 && (f.reassignAt == 0 || next < f.reassignAt) {
+		f.reassignAt = next
+		f.host.Wake(next, timerReassign)
 	}
 	return hosts
 }
 
-// countHosts counts the endpoints in service of each cell.
-func (f *Fleet) countHosts() {
-	for _, c := range f.numbers {
-		c.hosts = 0
-	}
-	for id, c := range f.owners {
-		if f.listed[id].State == policy.Ready {
-			c.hosts++
+// countHostsInService updates the number of hosts in service of each cell.
+func (f *Fleet) countHostsInService() {
+	for _, c := range f.cellsByNumber {
+		c.hostsInService = 0
+	}
+	for id, c := range f.cellOfHost {
+		if f.listedHosts[id].State == policy.Ready {
+			c.hostsInService++
 		}
 	}
 }
--- a/internal/cells/moves.go
+++ b/internal/cells/moves.go
@@ -7,141 +7,148 @@
 	"time"
 )
 
-// slots is how many timer names a module has room for; the Fleet's own are below all of them.
-const slots, timerMoves, timerDeal = 16, -1, -2
+// timersPerCell is the number of timer names reserved for each cell's balancer.
+const timersPerCell = 16
 
-// moveEvery is how often connections are looked at that are to follow their flight. They follow only after clocks, the
-// most by which balancers' clocks may differ. Danger: a client that was told by one balancer would come again to
-// another one for which its flight has not crossed yet, and be told a second time.
-const moveEvery, clocks = 100 * time.Millisecond, 500 * time.Millisecond
+// Names of the Fleet's own timers; they are negative so as not to collide with those of the cells.
+const timerMoves, timerReassign = -1, -2
 
-// mostCatchUp is the longest time whose moves may be made up for at once.
-const mostCatchUp = time.Second
+// moveInterval is the time between two checks for connections that are to follow their flight.
+const moveInterval = 100 * time.Millisecond
 
-// Wake does what has fallen due.
+// maxClockSkew is the largest difference between the balancers' clocks that moves allow for. Connections follow their
+// flight only this long after it crossed. Without the delay, a client that gets MOVE from one balancer could reconnect
+// to another, for which the flight has not crossed yet, and get MOVE a second time.
+const maxClockSkew = 500 * time.Millisecond
+
+// maxCatchUp bounds the time for which moves are caught up at once after a delay.
+const maxCatchUp = time.Second
+
+// Wake handles a timer that has expired.
 func (f *Fleet) Wake(now time.Duration, name int64) {
 	switch name {
 	case timerMoves:
-		if f.tickAt > 0 && now >= f.tickAt { // else of a plan that is no longer in force
-			f.tickAt = 0
+		if f.moveTickAt > 0 && now >= f.moveTickAt { // otherwise it is a timer of an earlier plan
+			f.moveTickAt = 0
 			f.runMoves(now)
 		}
-	case timerDeal:
-		if f.dealAt = 0; f.plan != nil {
-			f.deal(now)
-			f.countHosts()
+	case timerReassign:
+		if f.reassignAt = 0; f.plan != nil {
+			f.reassignHosts(now)
+			f.countHostsInService()
 		}
 	default:
-		if c := f.numbers[name/slots]; c != nil {
-			c.module.Wake(now, name%slots)
+		if c := f.cellsByNumber[name/timersPerCell]; c != nil {
+			c.balancer.Wake(now, name%timersPerCell)
 		}
 	}
 }
 
-// scheduleMoves asks to be woken for the moves at a time, but not before the first of them starts.
+// scheduleMoves sets the timer of runMoves to the given time, or to the start of the first move if that is later.
 func (f *Fleet) scheduleMoves(now, at time.Duration) {
 	if f.plan == nil || len(f.plan.Moves) == 0 {
 		return
 	}
-	starts := slices.MinFunc(f.plan.Moves, func(a, b Move) int { return cmp.Compare(a.Start, b.Start) }).Start
-	if at = max(at, now+f.set.Tick, starts); f.tickAt == 0 || at < f.tickAt {
-		f.tickAt = at
+	firstStart := slices.MinFunc(f.plan.Moves, func(a, b Move) int { return cmp.Compare(a.Start, b.Start) }).Start
+	if at = max(at, now+f.settings.Tick, firstStart); f.moveTickAt == 0 || at < f.moveTickAt {
+		f.moveTickAt = at
 		f.host.Wake(at, timerMoves)
 	}
 }
 
-// runMoves sends away, at the pace of the plan, the connections in a cell that their flight has left, whole flights one
-// after the other. It waits while the cell that they are to reach has no endpoint in service.
+// runMoves sends MOVE to connections in a cell that their flight has left, at the pace of the plan and flight by
+// flight. It pauses while the target cell has no host in service.
 func (f *Fleet) runMoves(now time.Duration) {
 	if f.plan == nil {
 		return
 	}
-	elapsed := min(now-f.ticked, mostCatchUp)
-	f.ticked = now
+	elapsed := min(now-f.lastMoveTick, maxCatchUp)
+	f.lastMoveTick = now
 	for i := range f.plan.Moves {
 		m := &f.plan.Moves[i]
-		due := f.due(now, m)
+		due := f.connectionsDue(now, m)
 		if len(due) == 0 {
 			continue
 		}
-		slices.SortFunc(due, byCrossing)
+		slices.SortFunc(due, compareCrossing)
 		if m.returning(now) {
 			slices.Reverse(due)
 		}
-		f.send(m, due, elapsed)
+		f.sendMoves(m, due, elapsed)
 	}
-	f.scheduleMoves(now, now+moveEvery)
+	f.scheduleMoves(now, now+moveInterval)
 }
 
-// due is the connections that are to follow their flight in a move. What is established where its flight is to come
-// stays, also early; so does what the flight keys of a cell keep.
-func (f *Fleet) due(now time.Duration, m *Move) (due []*tracked) {
-	from, to := f.named(m.From), f.named(m.To)
-	for _, e := range f.movers[m.Carrier] {
-		if e.told || e.from != nil {
+// connectionsDue returns the connections that are to follow their flight. Connections that are already in the flight's
+// next cell stay, even before the flight crosses, and so do those of flights that a cell lists by key.
+func (f *Fleet) connectionsDue(now time.Duration, m *Move) (due []*trackedRequest) {
+	from, to := f.cellNamed(m.From), f.cellNamed(m.To)
+	for _, r := range f.carrierConnections[m.Carrier] {
+		if r.moveSent || r.overflowedFrom != nil {
 			continue
 		}
-		at := f.where(e)
-		home, _, since := f.plan.home(now, m.Carrier, e.q.Key)
-		if now-since < clocks {
+		at := f.currentCell(r)
+		home, _, since := f.plan.resolveHome(now, m.Carrier, r.request.Key)
+		if now-since < maxClockSkew {
 			continue
 		}
 		forward := at == from && home == m.To
 		back := m.returning(now) && at == to && home == m.From
 		if forward || back {
-			due = append(due, e)
+			due = append(due, r)
 		}
 	}
 	return due
 }
 
-// byCrossing orders connections as their flights cross.
-func byCrossing(a, b *tracked) int {
-	return cmp.Or(cmp.Compare(CrossingPosition(a.q.Key), CrossingPosition(b.q.Key)), cmp.Compare(a.q.Key, b.q.Key), cmp.Compare(a.q.ID, b.q.ID))
+// compareCrossing orders connections by the order in which their flights cross.
+func compareCrossing(a, b *trackedRequest) int {
+	return cmp.Or(cmp.Compare(CrossingPosition(a.request.Key), CrossingPosition(b.request.Key)),
+		cmp.Compare(a.request.Key, b.request.Key), cmp.Compare(a.request.ID, b.request.ID))
 }
 
-// where is the cell in which a connection is established: its endpoint's, which may have changed since it was placed.
-func (f *Fleet) where(e *tracked) *cell {
-	if c := f.owners[e.server]; c != nil {
+// currentCell returns the cell that a connection is in: that of its host, which may have been reassigned since.
+func (f *Fleet) currentCell(r *trackedRequest) *cell {
+	if c := f.cellOfHost[r.server]; c != nil {
 		return c
 	}
-	return e.cell
+	return r.cell
 }
 
-// send tells as many of the connections that are due to move as the pace allows.
-func (f *Fleet) send(m *Move, due []*tracked, elapsed time.Duration) {
-	target := f.named(m.To)
-	if f.where(due[0]) == target {
-		target = f.named(m.From)
+// sendMoves sends MOVE to as many of the due connections as the pace allows.
+func (f *Fleet) sendMoves(m *Move, due []*trackedRequest, elapsed time.Duration) {
+	target := f.cellNamed(m.To)
+	if f.currentCell(due[0]) == target {
+		target = f.cellNamed(m.From)
 	}
-	if f.waits(m, target) {
+	if f.checkPaused(m, target) {
 		return
 	}
-	for _, e := range due[:f.allowed(m, len(due), elapsed)] {
-		e.told = true
-		e.cell.count.MovesSent++
-		f.host.Move(e.q.ID)
+	for _, r := range due[:f.takeMoveCredit(m, len(due), elapsed)] {
+		r.moveSent = true
+		r.cell.counts.MovesSent++
+		f.host.Move(r.request.ID)
 	}
 }
 
-// waits tells whether a move has no endpoint to go to, and logs each change of that.
-func (f *Fleet) waits(m *Move, target *cell) bool {
-	if none := target.hosts == 0; none != f.paused[m.Carrier] {
-		f.paused[m.Carrier] = none
-		f.host.Log(fmt.Sprintf("cells: move of %s waits for a desk host in cell %s: %v", m.Carrier, target.name, none))
+// checkPaused reports whether a move is paused because its target has no host in service, and logs each change.
+func (f *Fleet) checkPaused(m *Move, target *cell) bool {
+	if paused := target.hostsInService == 0; paused != f.movePaused[m.Carrier] {
+		f.movePaused[m.Carrier] = paused
+		f.host.Log(fmt.Sprintf("cells: move of %s paused, no desk host in service in cell %s: %v", m.Carrier, target.name, paused))
 	}
-	return f.paused[m.Carrier]
+	return f.movePaused[m.Carrier]
 }
 
-// allowed is how many of the connections that are due fit the pace of a move now: this balancer's part of it, with no
-// more than two looks' worth saved up.
-func (f *Fleet) allowed(m *Move, due int, elapsed time.Duration) int {
+// takeMoveCredit returns how many of the due connections this balancer's share of the move's pace allows now, and
+// deducts them. Unused credit is kept for at most two intervals.
+func (f *Fleet) takeMoveCredit(m *Move, due int, elapsed time.Duration) int {
 	if m.MaxPerSecond <= 0 {
 		return due
 	}
 	pace := m.MaxPerSecond / float64(f.siblings())
-	credit := min(f.credit[m.Carrier]+pace*elapsed.Seconds(), max(pace*moveEvery.Seconds()*2, 1))
+	credit := min(f.moveCredit[m.Carrier]+pace*elapsed.Seconds(), max(pace*moveInterval.Seconds()*2, 1))
 	allowed := min(due, int(credit))
-	f.credit[m.Carrier] = credit - float64(allowed)
+	f.moveCredit[m.Carrier] = credit - float64(allowed)
 	return allowed
 }
--- a/internal/cells/plan.go
+++ b/internal/cells/plan.go
@@ -1,11 +1,11 @@
-// Package cells confines carriers and flights to parts of the fleet, so that one's trouble stays with the endpoints of
-// its own cell. It owns the plan that an operator wrote (Plan), the assignment of endpoints to cells (Deal), the moment
-// at which each flight crosses in a move (Move.Crossed), and the decision modules of the cells behind one interface
-// (Fleet).
+// Package cells partitions the fleet into cells, each with its own carriers, flights and desk hosts, so that a failure
+// or an overload in one cell does not affect the others. It contains the operator's plan (Plan), the assignment of
+// hosts to cells (Plan.AssignHosts), the time at which each flight crosses during a move (Move.Crossed), and Fleet,
+// which puts one policy.Balancer per cell behind the interface of a single one.
 //
-// It promises: what follows from list, plan and clock alone is the same at every balancer; an endpoint is in one cell at
-// a time; without a plan a Fleet does what the one module does, action by action. It is pure: no input or output, no
-// clock, no goroutine. Time comes in, actions go out.
+// Guarantees: whatever depends only on the host list, the plan and the clock is the same at every balancer; a host is
+// in one cell at a time; without a plan, a Fleet takes exactly the actions of a single policy.Balancer. The package
+// does no I/O, reads no clock and starts no goroutine: callers pass in the time, and actions go to a policy.Host.
 package cells
 
 import (
@@ -16,23 +16,24 @@
 	"time"
 )
 
-// Plan is what an operator wants of cells. A plan without cells switches them off.
+// Plan is an operator's configuration of the cells. A plan without cells turns them off.
 type Plan struct {
-	Default string // the cell of whoever is named in none
-	// Slack is by how much a cell may exceed its share of the endpoints assigned. With none, every cell has its share to
-	// within one, and each endpoint that comes or goes moves some others; with a tenth, hardly any.
+	Default string // the cell of carriers and flights that no cell lists
+	// Slack is the fraction by which a cell may exceed its share of the hosts. With 0, every cell has its share to
+	// within one host, and each host that joins or leaves reassigns some others; with 0.1, it reassigns hardly any.
 	Slack float64
-	// AbsentRetention is how long the place of an endpoint that has left the list is kept for it. Danger: without, a crash in one
-	// cell would draw endpoints from all others, and its return would push them back.
+	// AbsentRetention is how long a host that has left the list still counts in the assignment. Without it, a crash in
+	// one cell would pull in hosts from all other cells, and the recovery would push them back.
 	AbsentRetention time.Duration
 	Cells           []Cell
 	Moves           []Move
-	// PlacementCell, if set, is where a placement plan has a carrier's flight. What the file says of flights and moves takes
-	// precedence over it, and it over what the file says of carriers. A cell that does not exist counts as none.
+	// PlacementCell, if set, returns the cell that a placement plan gives to a carrier's flight. The flights and moves
+	// of the operator's file take precedence over it; it takes precedence over the file's carriers. A cell that does
+	// not exist is ignored.
 	PlacementCell func(now time.Duration, carrier string, flight uint64) (cell string, ok bool)
 }
 
-// CellCount is how many cells a plan has; nil is one without.
+// CellCount returns the number of cells; a nil plan has none.
 func (p *Plan) CellCount() int {
 	if p == nil {
 		return 0
@@ -40,37 +41,39 @@
 	return len(p.Cells)
 }
 
-// Cell is one part of the fleet: who belongs in it, which endpoints serve it, and how much it takes. Limits are the
-// whole fleet's; each balancer keeps its part, one by the number of siblings. Zero means no limit.
+// Cell configures one cell: its carriers and flights, its hosts and its limits. Limits apply to the whole fleet; each
+// balancer enforces its share, the limit divided by the number of siblings. Zero means no limit.
 type Cell struct {
 	Name     string
 	Carriers []string
 	Flights  []FlightRange
-	// Endpoints that one of these names are the cell's; the rest of the fleet is assigned by share.
+	// A host that matches Numbers (the cell number in the host list), Rooms, Kinds or IDs belongs to this cell. All
+	// other hosts are assigned by Share.
 	Numbers []int
 	Rooms   []string
 	Kinds   []string
 	IDs     []string
 	Share   float64
-	// MaxConnections bounds what is established or being set up, OpensPerSecond what comes new.
+	// MaxConnections limits the connections that are established or being set up, MaxOpensPerSecond the rate of new
+	// ones.
 	MaxConnections    int
 	MaxOpensPerSecond float64
-	OverflowTo        string // when full, or with no endpoint in service; empty refuses
-	MaxGuests         int    // the most connections that overflow from other cells into this one
+	OverflowTo        string // takes requests when this cell is full or has no host in service; empty: they are refused
+	MaxGuests         int    // connections accepted from other cells' overflow; 0: none
 }
 
-// FlightRange is the flight keys from Low to High, both included.
+// FlightRange is the flight keys from Low to High, both inclusive.
 type FlightRange struct{ Low, High uint64 }
 
-// ParseFlightRange reads a flight key, or two with a dash between, in hexadecimal.
+// ParseFlightRange parses a hexadecimal flight key, or a range of them written LOW-HIGH.
 func ParseFlightRange(text string) (r FlightRange, err error) {
-	low, high, two := strings.Cut(text, "-")
+	low, high, isRange := strings.Cut(text, "-")
 	if r.Low, err = strconv.ParseUint(low, 16, 64); err != nil {
-		return r, fmt.Errorf("flight %q: want a hexadecimal key, or LOW-HIGH", text)
+		return r, fmt.Errorf("flight %q: must be a hexadecimal key or a range LOW-HIGH", text)
 	}
-	if r.High = r.Low; two {
+	if r.High = r.Low; isRange {
 		if r.High, err = strconv.ParseUint(high, 16, 64); err != nil || r.High < r.Low {
-			return r, fmt.Errorf("flight %q: want LOW-HIGH in hexadecimal, the lower first", text)
+			return r, fmt.Errorf("flight %q: range must be LOW-HIGH in hexadecimal with LOW <= HIGH", text)
 		}
 	}
 	return r, nil
@@ -78,15 +81,15 @@
 
 func (r FlightRange) contains(flight uint64) bool { return r.Low <= flight && flight <= r.High }
 
-// HomeCell tells in which cell a carrier's flight belongs at a time.
+// HomeCell returns the cell that a carrier's flight belongs to at the given time.
 func (p *Plan) HomeCell(now time.Duration, carrier string, flight uint64) string {
-	home, _, _ := p.home(now, carrier, flight)
+	home, _, _ := p.resolveHome(now, carrier, flight)
 	return home
 }
 
-// home is where a plan has a carrier's flight at a time. In a move, other is the move's other cell, in which
-// connections of the flight may still be established.
-func (p *Plan) home(now time.Duration, carrier string, flight uint64) (home, other string, since time.Duration) {
+// resolveHome returns the home cell of a carrier's flight. If the carrier has a move, other is the second cell of the
+// move, in which connections of the flight may still be established, and since is when the flight last crossed.
+func (p *Plan) resolveHome(now time.Duration, carrier string, flight uint64) (home, other string, since time.Duration) {
 	if cell, ok := p.cellOfFlight(flight); ok {
 		return cell, "", 0
 	}
@@ -105,7 +108,7 @@
 	return p.cellOfCarrier(carrier), "", 0
 }
 
-// cellOfFlight is the cell that names a flight by its key.
+// cellOfFlight returns the cell that lists a flight by its key.
 func (p *Plan) cellOfFlight(flight uint64) (string, bool) {
 	for i := range p.Cells {
 		for _, r := range p.Cells[i].Flights {
@@ -117,7 +120,7 @@
 	return "", false
 }
 
-// moveOf is the move of a carrier; nil if it has none.
+// moveOf returns the move of a carrier, or nil.
 func (p *Plan) moveOf(carrier string) *Move {
 	for i := range p.Moves {
 		if p.Moves[i].Carrier == carrier {
@@ -127,7 +130,7 @@
 	return nil
 }
 
-// cellOfCarrier is the cell that names a carrier, else the default one.
+// cellOfCarrier returns the cell that lists a carrier, or the default cell.
 func (p *Plan) cellOfCarrier(carrier string) string {
 	for i := range p.Cells {
 		if slices.Contains(p.Cells[i].Carriers, carrier) {
--- a/internal/cells/plan_test.go
+++ b/internal/cells/plan_test.go
@@ -14,11 +14,11 @@
 	"tealtiller/policy"
 )
 
-// The same cases at each run; -rapid.seed=0 -rapid.checks=100000 looks for others.
+// Fixes the seed so that each run checks the same cases; -rapid.seed=0 -rapid.checks=100000 searches for others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-// hosts makes a fleet of two rooms and two kinds.
-func hosts(n int) []policy.Server {
+// testHosts returns n hosts in two rooms and of two kinds.
+func testHosts(n int) []policy.Server {
 	out := make([]policy.Server, n)
 	for i := range out {
 		out[i] = policy.Server{ID: fmt.Sprintf("s-%04d", i), Zone: []string{"treforest", "llandaff"}[i%2],
@@ -27,7 +27,7 @@
 	return out
 }
 
-func even(n int) *Plan {
+func evenPlan(n int) *Plan {
 	p := &Plan{Default: "c0"}
 	for i := range n {
 		p.Cells = append(p.Cells, Cell{Name: fmt.Sprintf("c%d", i), Share: 1 / float64(n), Carriers: []string{fmt.Sprintf("air-%d", i)}})
@@ -35,8 +35,8 @@
 	return p
 }
 
-// Each mistake that an operator can make is told at its block and attribute, and all of them at once.
-func TestCheckTellsEveryMistake(t *testing.T) {
+// Each kind of error is reported at its block and attribute, and all errors at once.
+func TestValidateReportsEveryError(t *testing.T) {
 	p := &Plan{Default: "nowhere", Cells: []Cell{
 		{Name: "a", Share: 0.7, Carriers: []string{"x"}, OverflowTo: "b", MaxGuests: 3, Flights: []FlightRange{{1, 9}}, Numbers: []int{4}, Rooms: []string{"r"}},
 		{Name: "b", Share: 0.7, Carriers: []string{"x"}, OverflowTo: "a", MaxGuests: 5, MaxConnections: 5, Flights: []FlightRange{{9, 9}}, Numbers: []int{4}, Rooms: []string{"r"}},
@@ -51,33 +51,33 @@
 		"cell|e|overflow_to", "move|x|from", "move|x|to", "move|x|span", "move|x|back", "move|x|pace", "move|x|"} {
 		assert.Contains(t, got, want)
 	}
-	assert.Empty(t, even(40).Validate())
+	assert.Empty(t, evenPlan(40).Validate())
 	assert.Empty(t, (&Plan{}).Validate())
 }
 
-// Dealing is alike at every balancer, whatever the order in which the list came; every host is in one cell, each cell
-// has its quota, and of no room and kind more than its share rounded up, unless there was no other way.
-func TestDealIsAlikeAndEven(t *testing.T) {
+// The assignment does not depend on the order of the list, so it is the same at every balancer. Every host is in a
+// cell, and each cell has its quota to within one host.
+func TestAssignmentIsDeterministicAndEven(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n, k := rapid.IntRange(1, 60).Draw(t, "hosts"), rapid.IntRange(1, 7).Draw(t, "cells")
-		p, list := even(k), hosts(n)
-		dealt := p.AssignHosts(list)
+		p, list := evenPlan(k), testHosts(n)
+		assigned := p.AssignHosts(list)
 		shuffled := rapid.Permutation(list).Draw(t, "order")
-		assert.Equal(t, dealt, p.AssignHosts(shuffled))
+		assert.Equal(t, assigned, p.AssignHosts(shuffled))
 		count := map[string]int{}
 		for _, s := range list {
-			count[dealt[s.ID]]++
+			count[assigned[s.ID]]++
 		}
 		for _, c := range p.Cells {
 			assert.InDelta(t, float64(n)/float64(k), count[c.Name], 1)
 		}
-		assert.Len(t, dealt, n)
+		assert.Len(t, assigned, n)
 		assert.NotContains(t, count, "")
 	})
 }
 
-func TestDealSpreadsOverRoomsAndKinds(t *testing.T) {
-	list, p := hosts(48), even(4)
+func TestAssignmentSpreadsOverRoomsAndKinds(t *testing.T) {
+	list, p := testHosts(48), evenPlan(4)
 	count := map[string]int{}
 	for id, c := range p.AssignHosts(list) {
 		i := slices.IndexFunc(list, func(s policy.Server) bool { return s.ID == id })
@@ -89,11 +89,11 @@
 	}
 }
 
-// A host that leaves moves few others: at 1,000 hosts and 40 cells under one on average, with slack; and without any
-// a cell's share stays exact.
-func TestDealMovesFew(t *testing.T) {
-	for slack, most := range map[float64]int{0.1: 30, 0: 180} {
-		list, p := hosts(1000), even(40)
+// A host that leaves reassigns few others: with 1,000 hosts, 40 cells and slack, less than one on average. Without
+// slack, the size of a cell stays exact.
+func TestAssignmentChangesFewHosts(t *testing.T) {
+	for slack, maxMoved := range map[float64]int{0.1: 30, 0: 180} {
+		list, p := testHosts(1000), evenPlan(40)
 		p.Slack = slack
 		before, moved, largest := p.AssignHosts(list), 0, 0
 		for i := 0; i < 30; i++ {
@@ -106,65 +106,65 @@
 				largest = max(largest, count[c])
 			}
 		}
-		assert.Less(t, moved, most)
+		assert.Less(t, moved, maxMoved)
 		assert.LessOrEqual(t, largest, 25+int(25*slack))
 	}
 }
 
-func TestHostsThatACellNames(t *testing.T) {
+func TestHostSelectors(t *testing.T) {
 	p := &Plan{Default: "rest", Cells: []Cell{{Name: "id", IDs: []string{"s-0000"}}, {Name: "number", Numbers: []int{0}},
 		{Name: "room", Rooms: []string{"llandaff"}}, {Name: "kind", Kinds: []string{"slow-clock"}}, {Name: "rest", Share: 1}}}
-	dealt := p.AssignHosts(hosts(8))
+	assigned := p.AssignHosts(testHosts(8))
 	assert.Equal(t, map[string]string{"s-0000": "id", "s-0001": "room", "s-0002": "kind", "s-0003": "room",
-		"s-0004": "rest", "s-0005": "number", "s-0006": "kind", "s-0007": "room"}, dealt)
+		"s-0004": "rest", "s-0005": "number", "s-0006": "kind", "s-0007": "room"}, assigned)
 	p.Cells[4].Share = 0
 	p.Cells[4].Numbers = []int{99}
-	assert.Equal(t, "rest", p.AssignHosts(hosts(8))["s-0004"], "without shares the default cell has the rest")
+	assert.Equal(t, "rest", p.AssignHosts(testHosts(8))["s-0004"], "without shares, the default cell gets the remaining hosts")
 }
 
-// Within a move a flight crosses once, at a time that file and clock give; turned back, it returns once or never
-// crosses, the last one first.
-func TestFlightsCrossOnceAndReturnOnce(t *testing.T) {
+// During a move, a flight crosses once, at a time that depends only on the move and the clock. If the move is returned,
+// the flight returns once or never crosses.
+func TestFlightsCrossAndReturnAtMostOnce(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		m := Move{Carrier: "x", From: "a", To: "b", Start: 1000 * time.Second, Duration: time.Duration(rapid.IntRange(1, 600).Draw(t, "span")) * time.Second}
 		if rapid.Bool().Draw(t, "turned") {
 			m.ReturnStart = m.Start + time.Duration(rapid.IntRange(1, 900).Draw(t, "back"))*time.Second
 		}
 		flight := rapid.Uint64().Draw(t, "flight")
-		changes, was := 0, false
-		look := func(now time.Duration) {
-			there, since := m.Crossed(now, flight)
-			if there != was {
-				changes, was = changes+1, there
+		changes, hasCrossed := 0, false
+		observe := func(now time.Duration) {
+			crossed, since := m.Crossed(now, flight)
+			if crossed != hasCrossed {
+				changes, hasCrossed = changes+1, crossed
 			}
 			assert.LessOrEqual(t, since, now)
 		}
 		for now := m.Start - time.Second; now < m.End(); now += (m.End() - m.Start) / 100 {
-			look(now)
+			observe(now)
 		}
-		look(m.End())
+		observe(m.End())
 		if m.ReturnStart == 0 {
 			assert.Equal(t, 1, changes)
-			assert.True(t, was)
+			assert.True(t, hasCrossed)
 		} else {
-			assert.False(t, was)
+			assert.False(t, hasCrossed)
 			assert.LessOrEqual(t, changes, 2)
 		}
 	})
 }
 
-// What a placement plan says of a flight goes after the file's flights and moves, and before its carriers; a cell that
-// there is not counts as none.
-func TestAPlacementPlanGivesFlights(t *testing.T) {
-	p := even(4)
+// A placement plan's cell for a flight ranks below the file's flights and moves and above its carriers. A cell that
+// does not exist is ignored.
+func TestPlacementPlanPrecedence(t *testing.T) {
+	p := evenPlan(4)
 	p.Cells[3].Flights = []FlightRange{{7, 7}}
 	p.Moves = []Move{{Carrier: "air-2", From: "c2", To: "c1", Start: time.Second, Duration: time.Second}}
-	given := "c1"
-	p.PlacementCell = func(_ time.Duration, _ string, flight uint64) (string, bool) { return given, flight < 10 }
+	placedIn := "c1"
+	p.PlacementCell = func(_ time.Duration, _ string, flight uint64) (string, bool) { return placedIn, flight < 10 }
 	assert.Equal(t, "c1", p.HomeCell(0, "air-0", 5))
-	assert.Equal(t, "c3", p.HomeCell(0, "air-0", 7), "the file names the flight")
-	assert.Equal(t, "c2", p.HomeCell(0, "air-2", 5), "its carrier moves")
-	assert.Equal(t, "c0", p.HomeCell(0, "air-0", 50), "the plan does not know the flight")
-	given = "c9"
+	assert.Equal(t, "c3", p.HomeCell(0, "air-0", 7), "the file lists the flight")
+	assert.Equal(t, "c2", p.HomeCell(0, "air-2", 5), "its carrier has a move")
+	assert.Equal(t, "c0", p.HomeCell(0, "air-0", 50), "the placement plan does not contain the flight")
+	placedIn = "c9"
 	assert.Equal(t, "c0", p.HomeCell(0, "air-0", 5))
 }
--- a/internal/cells/tracked.go
+++ b/internal/cells/tracked.go
@@ -7,168 +7,168 @@
 	"tealtiller/policy"
 )
 
-// tracked is a request, or the connection that came of it, and the cell whose module has it.
-type tracked struct {
-	q         policy.Request
-	cell      *cell
-	from      *cell // the cell that it overflowed from
-	deadline  time.Duration
-	attempts  int
-	server    string // of the last attempt
-	out       bool   // an attempt, or the connection that it brought up
-	stands    bool   // the connection is established
-	gone      bool
-	misplaced bool // mid-flow, tried first in a cell that is not its home
-	told      bool // to move
-	index     int  // in movers
+// trackedRequest is a request, or the connection established for it, with the cell whose balancer handles it.
+type trackedRequest struct {
+	request        policy.Request
+	cell           *cell
+	overflowedFrom *cell // nil if the request did not overflow
+	deadline       time.Duration
+	attempts       int
+	server         string // of the last attempt
+	attemptOpen    bool   // an attempt is in flight, or its connection is established
+	established    bool
+	clientGone     bool
+	misplaced      bool // mid-flow, and first tried outside its home cell
+	moveSent       bool // the client got MOVE
+	carrierIndex   int  // index in Fleet.carrierConnections of its carrier
 }
 
-// track puts a request into a cell; from is the cell that it overflowed from, or nil.
-func (f *Fleet) track(q policy.Request, c, from *cell, now time.Duration) *tracked {
-	e := &tracked{q: q, cell: c, from: from, deadline: now + q.TTL, attempts: q.PriorAttempts}
-	f.entries[q.ID] = e
+// track adds a request to a cell; from is the cell that it overflowed from, or nil.
+func (f *Fleet) track(q policy.Request, c, from *cell, now time.Duration) *trackedRequest {
+	r := &trackedRequest{request: q, cell: c, overflowedFrom: from, deadline: now + q.TTL, attempts: q.PriorAttempts}
+	f.requests[q.ID] = r
 	c.open++
 	if from != nil {
 		c.guests++
 	}
-	return e
+	return r
 }
 
-// untrack forgets a request whose connection has ended or that has its final answer.
+// untrack removes a request that has its final answer, or whose connection has ended.
 func (f *Fleet) untrack(id string) {
-	e := f.entries[id]
-	if e == nil {
+	r := f.requests[id]
+	if r == nil {
 		return
 	}
-	f.ended(e)
-	delete(f.entries, id)
-	e.cell.open--
-	if e.from != nil {
-		e.cell.guests--
+	f.markEnded(r)
+	delete(f.requests, id)
+	r.cell.open--
+	if r.overflowedFrom != nil {
+		r.cell.guests--
 	}
-	if e.cell.open == 0 && !slices.Contains(f.cells, e.cell) {
-		f.retire()
+	if r.cell.open == 0 && !slices.Contains(f.cells, r.cell) {
+		f.removeUnusedCells()
 	}
 }
 
-// established counts a connection that has come up.
-func (f *Fleet) established(e *tracked) {
-	if e.stands {
+// markEstablished counts a connection as established.
+func (f *Fleet) markEstablished(r *trackedRequest) {
+	if r.established {
 		return
 	}
-	e.stands = true
-	e.cell.stands++
-	at := f.flights[e.q.Key]
+	r.established = true
+	r.cell.established++
+	at := f.flightConnections[r.request.Key]
 	if at == nil {
 		at = map[*cell]int{}
-		f.flights[e.q.Key] = at
+		f.flightConnections[r.request.Key] = at
 	}
-	at[e.cell]++
-	e.index = len(f.movers[e.q.Tenant])
-	f.movers[e.q.Tenant] = append(f.movers[e.q.Tenant], e)
+	at[r.cell]++
+	r.carrierIndex = len(f.carrierConnections[r.request.Tenant])
+	f.carrierConnections[r.request.Tenant] = append(f.carrierConnections[r.request.Tenant], r)
 }
 
-// ended counts off a connection that was established, if it was.
-func (f *Fleet) ended(e *tracked) {
-	if !e.stands {
+// markEnded undoes markEstablished; it does nothing if the connection was not established.
+func (f *Fleet) markEnded(r *trackedRequest) {
+	if !r.established {
 		return
 	}
-	e.stands = false
-	e.cell.stands--
-	at := f.flights[e.q.Key]
-	if at[e.cell]--; at[e.cell] == 0 {
-		if delete(at, e.cell); len(at) == 0 {
-			delete(f.flights, e.q.Key)
+	r.established = false
+	r.cell.established--
+	at := f.flightConnections[r.request.Key]
+	if at[r.cell]--; at[r.cell] == 0 {
+		if delete(at, r.cell); len(at) == 0 {
+			delete(f.flightConnections, r.request.Key)
 		}
 	}
-	f.forgetMover(e)
+	f.removeFromCarrier(r)
 }
 
-// forgetMover takes a connection off those of its carrier; the last one takes its place.
-func (f *Fleet) forgetMover(e *tracked) {
-	all := f.movers[e.q.Tenant]
+// removeFromCarrier removes a connection from its carrier's list in constant time: the last one takes its index.
+func (f *Fleet) removeFromCarrier(r *trackedRequest) {
+	all := f.carrierConnections[r.request.Tenant]
 	last := all[len(all)-1]
-	all[e.index], last.index = last, e.index
+	all[r.carrierIndex], last.carrierIndex = last, r.carrierIndex
 	all[len(all)-1] = nil
-	if f.movers[e.q.Tenant] = all[:len(all)-1]; len(all) == 1 {
-		delete(f.movers, e.q.Tenant)
+	if f.carrierConnections[r.request.Tenant] = all[:len(all)-1]; len(all) == 1 {
+		delete(f.carrierConnections, r.request.Tenant)
 	}
 }
 
-// Inherit counts a connection that was established when this process started, or that another process brought up.
+// Inherit adds a connection that was established before this process started, or by another process.
 func (f *Fleet) Inherit(now time.Duration, q policy.Request, server string) {
-	c := f.owners[server]
+	c := f.cellOfHost[server]
 	if c == nil {
 		c = f.root
 	}
-	e := f.track(q, c, nil, now)
-	e.attempts, e.out, e.server = 1, true, server
-	f.established(e)
-	c.module.Inherit(now, q, server)
+	r := f.track(q, c, nil, now)
+	r.attempts, r.attemptOpen, r.server = 1, true, server
+	f.markEstablished(r)
+	c.balancer.Inherit(now, q, server)
 }
 
-// MayWrite tells whether an attempt may be written now, as the module that sent it sees it.
+// MayWrite reports whether the balancer that started an attempt still allows it to be written.
 func (f *Fleet) MayWrite(now time.Duration, id string) bool {
-	e := f.entries[id]
-	return e != nil && e.out && !e.gone && e.cell.module.MayWrite(now, id)
+	r := f.requests[id]
+	return r != nil && r.attemptOpen && !r.clientGone && r.cell.balancer.MayWrite(now, id)
 }
 
-// ConnectionEstablished tells that a connection is established.
+// ConnectionEstablished is called when an attempt has brought up its connection.
 func (f *Fleet) ConnectionEstablished(now time.Duration, id string) {
-	if e := f.entries[id]; e != nil && e.out {
-		f.established(e)
-		e.cell.module.ConnectionEstablished(now, id)
+	if r := f.requests[id]; r != nil && r.attemptOpen {
+		f.markEstablished(r)
+		r.cell.balancer.ConnectionEstablished(now, id)
 	}
 }
 
-// Outcome tells how an attempt ended; over, that nothing more is owed. A mid-flow arrival that was not held where it
-// was tried first goes on in its home cell.
+// Outcome reports how an attempt ended; over means that the request needs no further answer. A mid-flow request that
+// was first tried outside its home cell continues in its home cell.
 func (f *Fleet) Outcome(now time.Duration, id string, result policy.Result, over bool) {
-	e := f.entries[id]
-	if e == nil || !e.out {
+	r := f.requests[id]
+	if r == nil || !r.attemptOpen {
 		return
 	}
-	e.out = false
-	f.ended(e)
-	if e.misplaced && !over && !e.gone {
-		f.goHome(now, e, result)
+	r.attemptOpen = false
+	f.markEnded(r)
+	if r.misplaced && !over && !r.clientGone {
+		f.retryInHomeCell(now, r, result)
 		return
 	}
-	if over || e.gone {
+	if over || r.clientGone {
 		f.untrack(id)
 	}
-	e.cell.module.Outcome(now, id, result, over)
+	r.cell.balancer.Outcome(now, id, result, over)
 }
 
-// goHome takes a request from the cell where it was tried first to its home cell, with the attempts that it has left;
-// but where the attempt may have run and must not be repeated elsewhere, it has failed.
-func (f *Fleet) goHome(now time.Duration, e *tracked, result policy.Result) {
-	q := e.q
-	q.PriorAttempts, q.TTL = e.attempts, e.deadline-now
+// retryInHomeCell moves a request from the cell where it was first tried to its home cell, keeping its attempt count.
+// The request fails instead if the attempt may have run and must not be repeated at another host.
+func (f *Fleet) retryInHomeCell(now time.Duration, r *trackedRequest, result policy.Result) {
+	q := r.request
+	q.PriorAttempts, q.TTL = r.attempts, r.deadline-now
 	f.untrack(q.ID)
-	e.cell.module.Outcome(now, q.ID, result, true)
+	r.cell.balancer.Outcome(now, q.ID, result, true)
 	neverRan := result == policy.Rejected || result == policy.ConnectFailed || result == policy.NotSent
-	if !neverRan && f.set.Classes[q.Class].Effect != policy.Safe {
+	if !neverRan && f.settings.Classes[q.Class].Effect != policy.Safe {
 		f.host.Fail(q.ID)
 		return
 	}
 	home := f.root
 	if f.plan != nil {
-		home = f.named(f.plan.HomeCell(now, q.Tenant, q.Key))
+		home = f.cellNamed(f.plan.HomeCell(now, q.Tenant, q.Key))
 	}
 	f.track(q, home, nil, now)
-	home.module.Request(now, q)
+	home.balancer.Request(now, q)
 }
 
-// ClientGone tells that the client left; an attempt that is out still gets its outcome.
+// ClientGone is called when the client has left; an attempt in flight still gets its Outcome.
 func (f *Fleet) ClientGone(now time.Duration, id string) {
-	e := f.entries[id]
-	if e == nil {
+	r := f.requests[id]
+	if r == nil {
 		return
 	}
-	e.gone = true
-	if !e.out {
+	r.clientGone = true
+	if !r.attemptOpen {
 		f.untrack(id)
 	}
-	e.cell.module.ClientGone(now, id)
+	r.cell.balancer.ClientGone(now, id)
 }
