--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,11 +1,12 @@
-// Package failover decides, for each zone of desk hosts, how much of its own traffic it may take now. It is pure, as
-// etcd's raft is: no I/O, no clock, no goroutine; events come in with the time, states go out.
+// Package failover decides, for each zone of desk hosts, what share of its own traffic it takes now. Like etcd's raft
+// package, it does no I/O, reads no clock and starts no goroutine: callers pass in events with their time and query
+// states.
 //
-// What every balancer sees alike comes first: the list, with each host's zone, phase and start. A zone whose hosts
-// are gone, draining or cold has a lower target share at every balancer at once. This balancer's own outcomes come
-// second, faded by the clock and counted only as much as was seen, with hysteresis. The share moves towards its target
-// by at most Swing a second, so that a link that flaps does not swing the fleet, and a zone back from the dark is
-// ramped as its hosts warm, by all balancers together.
+// The primary input is the host list, with each host's zone, phase and start, as all balancers see the same one: a zone
+// whose hosts are gone, draining or cold has a lower target share at every balancer at once. The secondary input is the
+// outcomes that this balancer has observed. They decay over time, count only if there are enough of them, and act with
+// hysteresis. A share approaches its target by at most MaxChangePerSecond, so that a flapping link does not cause load
+// swings across the fleet, and so that all balancers together ramp up a recovering zone while its hosts warm up.
 package failover
 
 import (
@@ -14,122 +15,130 @@
 	"time"
 )
 
-// Settings are the figures of the module. Times are durations on the clock that comes in.
+// Settings configures Zones.
 type Settings struct {
-	WarmUp             time.Duration // how long a host that has just started takes to be warm
-	ColdCapacity       float64       // the part of its capacity that a host has at its start, 0 to 1
-	DecayTime          time.Duration // over which this balancer's own outcomes fade (by e after one Span)
-	MinOutcomes        float64       // the weight of outcomes below which they decide nothing
-	ShunThreshold      float64       // the failing part of outcomes at which a zone is shunned
-	RecoverThreshold   float64       // the failing part under which it is no longer; Leave < Enter
-	MaxChangePerSecond float64       // the most that a zone's share moves in a second
+	WarmUp             time.Duration // time from a host's start until it has its full capacity
+	ColdCapacity       float64       // share of its capacity that a host has at its start, 0 to 1
+	DecayTime          time.Duration // time in which the weight of an observed outcome decays to 1/e
+	MinOutcomes        float64       // decayed weight of outcomes below which they are ignored
+	ShunThreshold      float64       // failure rate at or above which a zone is shunned
+	RecoverThreshold   float64       // failure rate at or below which it no longer is; less than ShunThreshold
+	MaxChangePerSecond float64       // largest change of a zone's share per second
 }
 
-// DefaultSettings: warm-up and cold start as both sites have them at their slowest, a swing of a quarter a second.
-var DefaultSettings = Settings{WarmUp: 8500 * time.Millisecond, ColdCapacity: 0.39, DecayTime: 3 * time.Second, MinOutcomes: 4, ShunThreshold: 0.6,
-	RecoverThreshold: 0.3, MaxChangePerSecond: 0.25}
+// DefaultSettings has the slowest warm-up and the cold capacity of both sites, and lets a share change by a quarter per
+// second.
+var DefaultSettings = Settings{WarmUp: 8500 * time.Millisecond, ColdCapacity: 0.39, DecayTime: 3 * time.Second,
+	MinOutcomes: 4, ShunThreshold: 0.6, RecoverThreshold: 0.3, MaxChangePerSecond: 0.25}
 
-// Host is one entry of the list as the module needs it.
+// Host is the part of a list entry that decides on its zone's target share.
 type Host struct {
 	Zone      string
 	InService bool          // neither draining nor gone
-	UpSince   time.Duration // when it last started, on the same clock; 0 or less for long ago
+	UpSince   time.Duration // when it last started, on the caller's clock; 0 or less if long ago
 }
 
-// State is what a zone is to this balancer.
+// State is how this balancer uses a zone.
 type State int
 
+// The states of a zone.
 const (
 	Near      State = iota // takes all of its own traffic
-	Shared                 // takes a part; the rest goes to the nearest zone with room
-	Shunned                // takes nothing new while another zone can
-	Returning              // back: its part grows in steps
+	Shared                 // takes a part; the rest goes to the nearest zone with capacity
+	Shunned                // takes no new traffic while another zone can
+	Returning              // recovering: its share is increasing
 )
 
+// String returns the state's name as the log has it.
 func (s State) String() string { return [...]string{"near", "shared", "shunned", "returning"}[s] }
 
-type zone struct {
-	up      []time.Duration // starts of the hosts in service
-	listed  int
-	ok, bad float64       // outcomes, faded
-	seenAt  time.Duration // as of when they are faded
-	shunned bool
-	share   float64
-	at      time.Duration // as of when share holds
-	target  float64
-	fresh   bool // not yet aimed: its share starts at its target, so a zone first seen cold is not sent all at once
+// zoneState is what is known of one zone.
+type zoneState struct {
+	startTimes          []time.Duration // of the hosts in service
+	listedHosts         int
+	successes, failures float64 // outcomes observed, decayed to decayedAt
+	decayedAt           time.Duration
+	shunned             bool
+	share               float64 // as of shareAt
+	shareAt             time.Duration
+	target              float64
+	// needsInitialShare is set until the first target is known. The share then starts at the target, so that a zone
+	// that is cold when first listed does not get all of its traffic at once.
+	needsInitialShare bool
 }
 
-// Zones holds what is known of all zones.
+// Zones tracks the shares of all zones.
 type Zones struct {
-	set     Settings
-	zones   map[string]*zone
-	names   []string      // in order, so that nothing depends on a map's
-	aimedAt time.Duration // shares and targets hold as of then; a question at the same time finds them so
+	settings  Settings
+	zones     map[string]*zoneState
+	names     []string      // sorted, so that results do not depend on the iteration order of a map
+	updatedAt time.Duration // when shares and targets were last brought up to date
 }
 
-// New makes a module that knows no zone.
-func New(set Settings) *Zones { return &Zones{set: set, zones: map[string]*zone{}} }
+// New returns a Zones without any zone.
+func New(settings Settings) *Zones { return &Zones{settings: settings, zones: map[string]*zoneState{}} }
 
-func (z *Zones) of(name string, now time.Duration) *zone {
-	c := z.zones[name]
-	if c == nil {
-		c = &zone{share: 1, target: 1, at: now, seenAt: now, fresh: true}
-		z.zones[name] = c
+// stateOf returns the state of a zone, and adds the zone if it is new.
+func (z *Zones) stateOf(name string, now time.Duration) *zoneState {
+	zone := z.zones[name]
+	if zone == nil {
+		zone = &zoneState{share: 1, target: 1, shareAt: now, decayedAt: now, needsInitialShare: true}
+		z.zones[name] = zone
 		i, _ := slices.BinarySearch(z.names, name)
 		z.names = slices.Insert(z.names, i, name)
 	}
-	return c
+	return zone
 }
 
-// SetHosts takes the whole list. A zone that no longer has a host keeps its state, with no host in service.
+// SetHosts replaces the host list. A zone that no longer has a host keeps its state, with no host in service.
 func (z *Zones) SetHosts(now time.Duration, hosts []Host) {
-	z.advance(now)
-	for _, c := range z.zones {
-		c.up, c.listed = c.up[:0], 0
+	z.advanceShares(now)
+	for _, zone := range z.zones {
+		zone.startTimes, zone.listedHosts = zone.startTimes[:0], 0
 	}
 	for _, h := range hosts {
-		c := z.of(h.Zone, now)
-		if c.listed++; h.InService {
-			c.up = append(c.up, h.UpSince)
+		zone := z.stateOf(h.Zone, now)
+		if zone.listedHosts++; h.InService {
+			zone.startTimes = append(zone.startTimes, h.UpSince)
 		}
 	}
-	z.aim(now)
+	z.updateTargets(now)
 }
 
-// RecordOutcome takes one outcome of this balancer's own at a host of a zone: ok where it came up or answered in time.
+// RecordOutcome records the outcome of an attempt of this balancer at a host of a zone; ok means that the host accepted
+// the connection or answered in time.
 func (z *Zones) RecordOutcome(now time.Duration, name string, ok bool) {
-	z.advance(now)
-	c := z.of(name, now)
-	c.fade(now, z.set.DecayTime)
+	z.advanceShares(now)
+	zone := z.stateOf(name, now)
+	zone.decay(now, z.settings.DecayTime)
 	if ok {
-		c.ok++
+		zone.successes++
 	} else {
-		c.bad++
+		zone.failures++
 	}
-	z.judge(c)
-	z.aim(now)
+	z.updateShunned(zone)
+	z.updateTargets(now)
 }
 
-// Share is the part of its own traffic that a zone may take now, 0 to 1; 1 for a zone never heard of.
+// Share returns the share of its own traffic that a zone may take now, 0 to 1; it is 1 for an unknown zone.
 func (z *Zones) Share(now time.Duration, name string) float64 {
-	z.settle(now)
-	if c := z.zones[name]; c != nil {
-		return c.share
+	z.update(now)
+	if zone := z.zones[name]; zone != nil {
+		return zone.share
 	}
 	return 1
 }
 
-// State tells what a zone is now.
+// State returns the state of a zone now; an unknown zone is Near.
 func (z *Zones) State(now time.Duration, name string) State {
 	share := z.Share(now, name)
-	c := z.zones[name]
+	zone := z.zones[name]
 	switch {
-	case c == nil:
+	case zone == nil:
 		return Near
-	case share <= 0 && c.target <= 0:
+	case share <= 0 && zone.target <= 0:
 		return Shunned
-	case c.target > share:
+	case zone.target > share:
 		return Returning
 	case share >= 1:
 		return Near
@@ -138,109 +147,116 @@
 	}
 }
 
-// InTransition tells whether some zone's share has still to reach its target, so that its state may change with no event.
+// InTransition reports whether the share of any zone has not reached its target, so that states may change without an
+// event.
 func (z *Zones) InTransition(now time.Duration) bool {
-	z.settle(now)
-	for _, c := range z.zones {
-		if c.share != c.target {
+	z.update(now)
+	for _, zone := range z.zones {
+		if zone.share != zone.target {
 			return true
 		}
 	}
 	return false
 }
 
-// Names lists the zones known, in order.
+// Names returns the names of all known zones, sorted.
 func (z *Zones) Names() []string { return slices.Clone(z.names) }
 
-// Fallback is the zone to use when every zone's share is nothing: of those with a host in service, the one whose
-// outcomes fail least; "" where no zone has one.
+// Fallback returns the zone to use when every zone's share is 0: of the zones with a host in service, the one with the
+// lowest failure rate; "" if there is none.
 func (z *Zones) Fallback(now time.Duration) string {
-	best, least := "", math.Inf(1)
+	best, lowestRate := "", math.Inf(1)
 	for _, name := range z.names {
-		c := z.zones[name]
-		c.fade(now, z.set.DecayTime)
-		if f := c.failing(); len(c.up) > 0 && f < least {
-			best, least = name, f
+		zone := z.zones[name]
+		zone.decay(now, z.settings.DecayTime)
+		if rate := zone.failureRate(); len(zone.startTimes) > 0 && rate < lowestRate {
+			best, lowestRate = name, rate
 		}
 	}
 	return best
 }
 
-func (c *zone) fade(now, span time.Duration) {
-	if now > c.seenAt && span > 0 {
-		k := math.Exp(-float64(now-c.seenAt) / float64(span))
-		c.ok, c.bad = c.ok*k, c.bad*k
+// decay reduces the weight of the observed outcomes by the time since the last call.
+func (s *zoneState) decay(now, decayTime time.Duration) {
+	if now > s.decayedAt && decayTime > 0 {
+		factor := math.Exp(-float64(now-s.decayedAt) / float64(decayTime))
+		s.successes, s.failures = s.successes*factor, s.failures*factor
 	}
-	c.seenAt = max(c.seenAt, now)
+	s.decayedAt = max(s.decayedAt, now)
 }
 
-func (c *zone) failing() float64 {
-	if c.ok+c.bad == 0 {
+func (s *zoneState) failureRate() float64 {
+	if s.successes+s.failures == 0 {
 		return 0
 	}
-	return c.bad / (c.ok + c.bad)
+	return s.failures / (s.successes + s.failures)
 }
 
-// judge applies the hysteresis. Evidence that has faded below Least decides nothing, so a shunned zone, which is sent
-// nothing and so says nothing, is tried again once its evidence has faded: in steps, by the swing.
-func (z *Zones) judge(c *zone) {
-	seen := c.ok+c.bad >= z.set.MinOutcomes
-	switch f := c.failing(); {
-	case seen && f >= z.set.ShunThreshold:
-		c.shunned = true
-	case !seen || f <= z.set.RecoverThreshold:
-		c.shunned = false
+// updateShunned applies the thresholds with hysteresis. Outcomes whose weight has decayed below MinOutcomes are
+// ignored. A shunned zone gets no traffic and so has no new outcomes; it is tried again, with an increasing share, once
+// its outcomes have decayed.
+func (z *Zones) updateShunned(zone *zoneState) {
+	enoughOutcomes := zone.successes+zone.failures >= z.settings.MinOutcomes
+	switch rate := zone.failureRate(); {
+	case enoughOutcomes && rate >= z.settings.ShunThreshold:
+		zone.shunned = true
+	case !enoughOutcomes || rate <= z.settings.RecoverThreshold:
+		zone.shunned = false
 	}
 }
 
-// settle brings shares and targets to a moment, once for each: the same moment again changes nothing.
-func (z *Zones) settle(now time.Duration) {
-	if now != z.aimedAt {
-		z.advance(now)
-		z.aim(now)
+// update brings shares and targets up to date; a second call for the same time does nothing.
+func (z *Zones) update(now time.Duration) {
+	if now != z.updatedAt {
+		z.advanceShares(now)
+		z.updateTargets(now)
 	}
 }
 
-// aim sets each zone's target: the warmth of its hosts in service over those listed, or nothing while shunned.
-func (z *Zones) aim(now time.Duration) {
-	z.aimedAt = now
+// updateTargets sets the target of each zone: the available capacity of its hosts in service divided by the number of
+// its listed hosts, or 0 while the zone is shunned.
+func (z *Zones) updateTargets(now time.Duration) {
+	z.updatedAt = now
 	for _, name := range z.names {
-		c := z.zones[name]
-		c.fade(now, z.set.DecayTime)
-		z.judge(c)
-		c.target = 0
-		if c.shunned || c.listed == 0 {
+		zone := z.zones[name]
+		zone.decay(now, z.settings.DecayTime)
+		z.updateShunned(zone)
+		zone.target = 0
+		if zone.shunned || zone.listedHosts == 0 {
 			continue
 		}
-		warmth := 0.0
-		for _, up := range c.up {
-			warmth += z.warmth(now, up)
+		capacity := 0.0
+		for _, startTime := range zone.startTimes {
+			capacity += z.availableCapacity(now, startTime)
 		}
-		c.target = warmth / float64(c.listed)
+		zone.target = capacity / float64(zone.listedHosts)
 	}
-	for _, c := range z.zones {
-		if c.fresh {
-			c.share, c.fresh = c.target, false
+	for _, zone := range z.zones {
+		if zone.needsInitialShare {
+			zone.share, zone.needsInitialShare = zone.target, false
 		}
 	}
 }
 
-func (z *Zones) warmth(now, up time.Duration) float64 {
-	if up <= 0 || z.set.WarmUp <= 0 || now-up >= z.set.WarmUp {
+// availableCapacity returns the share of its capacity that a host has now: it grows linearly from ColdCapacity at its
+// start to 1 after WarmUp.
+func (z *Zones) availableCapacity(now, startTime time.Duration) float64 {
+	if startTime <= 0 || z.settings.WarmUp <= 0 || now-startTime >= z.settings.WarmUp {
 		return 1
 	}
-	return z.set.ColdCapacity + (1-z.set.ColdCapacity)*float64(max(now-up, 0))/float64(z.set.WarmUp)
+	return z.settings.ColdCapacity + (1-z.settings.ColdCapacity)*float64(max(now-startTime, 0))/float64(z.settings.WarmUp)
 }
 
-// advance moves each share towards the target that held since the last event, by at most Swing a second.
-func (z *Zones) advance(now time.Duration) {
+// advanceShares moves each share towards the target that has been in effect since the last event, by at most
+// MaxChangePerSecond.
+func (z *Zones) advanceShares(now time.Duration) {
 	for _, name := range z.names {
-		c := z.zones[name]
-		if now <= c.at {
+		zone := z.zones[name]
+		if now <= zone.shareAt {
 			continue
 		}
-		step := z.set.MaxChangePerSecond * (now - c.at).Seconds()
-		c.share = min(max(c.target, c.share-step), c.share+step)
-		c.at = now
+		step := z.settings.MaxChangePerSecond * (now - zone.shareAt).Seconds()
+		zone.share = min(max(zone.target, zone.share-step), zone.share+step)
+		zone.shareAt = now
 	}
 }
--- a/internal/failover/failover_test.go
+++ b/internal/failover/failover_test.go
@@ -10,11 +10,11 @@
 
 var zoneNames = []string{"lisboa", "porto", "coimbra", "faro"}
 
-const start = 100 * time.Second // of the clock that comes in
+const startTime = 100 * time.Second
 
-// feed draws events, lists and outcomes some milliseconds apart, hands each to all modules and calls after at its time.
-func feed(t *rapid.T, after func(now time.Duration), zs ...*Zones) time.Duration {
-	now, zone := start, rapid.SampledFrom(zoneNames)
+// feedEvents draws a sequence of list updates and outcomes, applies each to all of zs, and calls after with its time.
+func feedEvents(t *rapid.T, after func(now time.Duration), zs ...*Zones) time.Duration {
+	now, zone := startTime, rapid.SampledFrom(zoneNames)
 	for range rapid.IntRange(1, 60).Draw(t, "events") {
 		now += time.Duration(rapid.IntRange(0, 3000).Draw(t, "ms")) * time.Millisecond
 		var hosts []Host
@@ -36,11 +36,11 @@
 	return now
 }
 
-// The same inputs give the same states: what balancers derive from the list alike, they derive alike.
-func TestSameInputsSameStates(t *testing.T) {
+// The same inputs give the same states, so that balancers with the same list agree.
+func TestSameInputsGiveSameStates(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		a, b := New(DefaultSettings), New(DefaultSettings)
-		feed(t, func(now time.Duration) {
+		feedEvents(t, func(now time.Duration) {
 			for _, name := range zoneNames {
 				if sa, sb := a.Share(now, name), b.Share(now, name); sa != sb || a.State(now, name) != b.State(now, name) {
 					t.Fatalf("%s at %v: %v %v against %v %v", name, now, sa, a.State(now, name), sb, b.State(now, name))
@@ -50,18 +50,18 @@
 	})
 }
 
-// No share moves faster than the swing, once a zone is known: a flapping link does not swing the fleet, and a zone
-// back from the dark is not sent all at once.
-func TestNoSwingFasterThanItsBound(t *testing.T) {
+// Once a zone is known, its share changes by at most MaxChangePerSecond, so that a flapping link causes no load swings
+// and a recovering zone does not get all of its traffic at once.
+func TestShareChangeRateIsBounded(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := New(DefaultSettings)
 		last, lastAt := map[string]float64{}, map[string]time.Duration{}
-		feed(t, func(now time.Duration) {
+		feedEvents(t, func(now time.Duration) {
 			for _, name := range z.Names() {
 				s := z.Share(now, name)
-				was, ok := last[name]
-				if s < 0 || s > 1 || ok && math.Abs(s-was) > DefaultSettings.MaxChangePerSecond*(now-lastAt[name]).Seconds()+1e-9 {
-					t.Fatalf("%s: %v to %v in %v", name, was, s, now-lastAt[name])
+				previous, ok := last[name]
+				if s < 0 || s > 1 || ok && math.Abs(s-previous) > DefaultSettings.MaxChangePerSecond*(now-lastAt[name]).Seconds()+1e-9 {
+					t.Fatalf("%s: %v to %v in %v", name, previous, s, now-lastAt[name])
 				}
 				last[name], lastAt[name] = s, now
 			}
@@ -69,52 +69,54 @@
 	})
 }
 
-// Every zone that is up, warm and sound gets all of its traffic back, whatever came before.
-func TestSoundZonesComeBack(t *testing.T) {
+// A zone whose hosts are in service and warm and whose outcomes succeed gets all of its traffic back after any sequence
+// of events.
+func TestHealthyZonesRecover(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		z := New(DefaultSettings)
-		now := feed(t, func(time.Duration) {}, z)
+		now := feedEvents(t, func(time.Duration) {}, z)
 		var hosts []Host
 		for _, name := range zoneNames {
 			hosts = append(hosts, Host{Zone: name, InService: true, UpSince: now})
 		}
 		z.SetHosts(now, hosts)
 		later := now + DefaultSettings.WarmUp + 10*DefaultSettings.DecayTime + time.Duration(float64(time.Second)/DefaultSettings.MaxChangePerSecond)
-		for t0 := now; t0 < later; t0 += 500 * time.Millisecond {
-			z.RecordOutcome(t0, rapid.SampledFrom(zoneNames).Draw(t, "sound"), true)
+		for at := now; at < later; at += 500 * time.Millisecond {
+			z.RecordOutcome(at, rapid.SampledFrom(zoneNames).Draw(t, "healthy zone"), true)
 		}
 		for _, name := range zoneNames {
 			if s, st := z.Share(later, name), z.State(later, name); s != 1 || st != Near {
-				t.Fatalf("%s after %v sound: share %v, %v", name, later-now, s, st)
+				t.Fatalf("%s after %v healthy: share %v, %v", name, later-now, s, st)
 			}
 		}
 	})
 }
 
-// A zone whose outcomes fail is shunned only once enough was seen, and stays so until they fade or mend.
-func TestEvidenceCountsByWhatWasSeen(t *testing.T) {
+// A zone with failing outcomes is shunned only once their weight reaches MinOutcomes, and returns when they have
+// decayed.
+func TestOutcomesCountByWeight(t *testing.T) {
 	z := New(DefaultSettings)
-	z.SetHosts(start, []Host{{Zone: "porto", InService: true}, {Zone: "faro", InService: true}})
+	z.SetHosts(startTime, []Host{{Zone: "porto", InService: true}, {Zone: "faro", InService: true}})
 	state := func(at time.Duration, share float64, want State) {
 		t.Helper()
 		if s, st := z.Share(at, "porto"), z.State(at, "porto"); s != share && share >= 0 || st != want {
-			t.Fatalf("at %v: share %v, %v; want %v, %v", at-start, s, st, share, want)
+			t.Fatalf("at %v: share %v, %v; want %v, %v", at-startTime, s, st, share, want)
 		}
 	}
-	z.RecordOutcome(start, "porto", false)
-	z.RecordOutcome(start, "porto", false)
-	state(start, 1, Near) // two failures of one balancer do not move the zone
+	z.RecordOutcome(startTime, "porto", false)
+	z.RecordOutcome(startTime, "porto", false)
+	state(startTime, 1, Near) // two failures are fewer than MinOutcomes
 	for range 4 {
-		z.RecordOutcome(start, "porto", false)
+		z.RecordOutcome(startTime, "porto", false)
 	}
-	state(start+time.Second, 1-DefaultSettings.MaxChangePerSecond, Shared)
-	at := start + time.Second
-	for ; at < start+5*time.Second; at += 500 * time.Millisecond {
+	state(startTime+time.Second, 1-DefaultSettings.MaxChangePerSecond, Shared)
+	at := startTime + time.Second
+	for ; at < startTime+5*time.Second; at += 500 * time.Millisecond {
 		z.RecordOutcome(at, "porto", false)
 	}
 	state(at, 0, Shunned)
 	if z.Fallback(at) != "faro" {
 		t.Fatalf("fallback %q", z.Fallback(at))
 	}
-	state(at+5*DefaultSettings.DecayTime, -1, Returning) // the evidence has faded
+	state(at+5*DefaultSettings.DecayTime, -1, Returning) // the outcomes have decayed
 }
