--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -1,5 +1,4 @@
-// Package line parses the lines that clients and desk hosts send. What goes on unchanged is kept as the
-// bytes that came.
+// Package line parses the lines that clients and desk hosts send. Lines that are forwarded keep their original bytes.
 package line
 
 import (
@@ -11,16 +10,16 @@
 	"time"
 )
 
-// MaxLength is the longest line, its end included.
+// MaxLength is the maximum length of a line in bytes, including the line end.
 const MaxLength = 4096
 
-// Errors of lines.
-var (
-	ErrTooLong = errors.New("line over 4096 bytes")
-	errNoOpen  = errors.New("want OPEN ID KEY LIST")
-)
+// ErrTooLong is returned for a line that exceeds MaxLength. The texts of this and all other errors of the package are
+// part of the protocol: they go to clients in ERR lines.
+var ErrTooLong = errors.New("line over 4096 bytes")
+
+var errMalformedOpen = errors.New("want OPEN ID KEY LIST")
 
-// Next takes the first line off a buffer, its end included. It is empty where the line is not complete yet.
+// Next returns the first line of a buffer, including the line end; it is nil if the line is not complete yet.
 func Next(buf []byte) (line []byte, err error) {
 	i := bytes.IndexByte(buf, '\n')
 	switch {
@@ -32,12 +31,12 @@
 	return buf[:i+1], nil
 }
 
-// Kind is what a line says, told by its first word.
+// Kind is the kind of a line, given by its first word.
 type Kind int
 
 // The kinds of lines.
 const (
-	Other Kind = iota
+	Other Kind = iota // none of those below
 	Open
 	Ping
 	Stats
@@ -50,20 +49,20 @@
 	Pong
 )
 
-var kinds = map[string]Kind{"OPEN": Open, "PING": Ping, "STATS": Stats, "UP": Up, "BUSY": Busy, "BYE": Bye,
+var kindsByCommand = map[string]Kind{"OPEN": Open, "PING": Ping, "STATS": Stats, "UP": Up, "BUSY": Busy, "BYE": Bye,
 	"MOVE": Move, "ERR": Err, "LOAD": Load, "PONG": Pong}
 
-// IsCommand tells whether a line of this kind begins something at a balancer.
+// IsCommand reports whether clients send lines of this kind as commands to a balancer.
 func (k Kind) IsCommand() bool { return k == Open || k == Ping || k == Stats }
 
-// Parse tells the kind of a line and what follows its first word.
+// Parse returns the kind of a line and the text after its first word.
 func Parse(line []byte) (Kind, []byte) {
 	word, rest, _ := bytes.Cut(bytes.TrimRight(line, "\r\n"), []byte(" "))
-	return kinds[string(word)], rest
+	return kindsByCommand[string(word)], rest
 }
 
-// ReportField reads one figure of a load report such as inflight=7,util=0.61.
-func ReportField(report []byte, name string) (figure float64, ok bool) {
+// ReportField returns one value of a load report such as inflight=7,util=0.61.
+func ReportField(report []byte, name string) (level float64, ok bool) {
 	for _, field := range bytes.Split(report, []byte(",")) {
 		if n, value, _ := bytes.Cut(field, []byte("=")); string(n) == name {
 			return ParseLoad(value)
@@ -72,7 +71,7 @@
 	return 0, false
 }
 
-// ParseLoad reads the figure of a LOAD line.
+// ParseLoad parses the value of a LOAD line; ok is false unless it is a number from 0 to 1e12.
 func ParseLoad(rest []byte) (level float64, ok bool) {
 	level, err := strconv.ParseFloat(string(rest), 64)
 	return level, err == nil && level >= 0 && level <= 1e12
@@ -82,25 +81,29 @@
 type OpenRequest struct {
 	ID       string
 	Class    string
-	Carrier  string // empty where none is told
+	Carrier  string // empty if not specified
 	Key      uint64
 	Group    uint64
 	HasGroup bool
-	Timeout  time.Duration // how long the client waits
-	MidFlow  bool
-	Returned bool
-	HostID   string // the desk host that already holds the connection
+	Timeout  time.Duration // how long the client waits for an answer
+	MidFlow  bool          // packets of an established connection
+	Returned bool          // the client reconnects after its connection broke or was moved
+	HostID   string        // the desk host that already has the connection; empty if it is new
 
-	text     []byte // the line as it came
-	from, to int    // where the figure of d stands in it
+	raw                      []byte // the received line
+	timeoutStart, timeoutEnd int    // position of the value of field d in raw
 }
 
-const longestWait, longestHandOver = 24 * time.Hour, 40 * time.Second
+// maxTimeout is the largest timeout that a client may specify.
+const maxTimeout = 24 * time.Hour
+
+// handoverTimeout applies to a connection that was established before the balancer started, as its OPEN has no timeout.
+const handoverTimeout = 40 * time.Second
 
-// ParseOpenRequest reads an OPEN line. It keeps a copy of its bytes.
+// ParseOpenRequest parses an OPEN line. The result does not refer to the buffer that is passed in.
 func ParseOpenRequest(line []byte) (OpenRequest, error) {
-	o := OpenRequest{text: bytes.Clone(line)}
-	body := bytes.TrimSuffix(bytes.TrimSuffix(o.text, []byte("\n")), []byte("\r"))
+	o := OpenRequest{raw: bytes.Clone(line)}
+	body := bytes.TrimSuffix(bytes.TrimSuffix(o.raw, []byte("\n")), []byte("\r"))
 	for _, c := range body {
 		if c < ' ' || c == 0x7f {
 			return o, errors.New("a control character in OPEN")
@@ -108,81 +111,83 @@
 	}
 	words := bytes.Split(body, []byte(" "))
 	if len(words) != 4 || string(words[0]) != "OPEN" || len(words[1]) == 0 {
-		return o, errNoOpen
+		return o, errMalformedOpen
 	}
-	if o.ID = string(words[1]); !validID(o.ID) {
+	if o.ID = string(words[1]); !isValidID(o.ID) {
 		return o, errors.New("want an id of up to 64 letters, digits and dashes")
 	}
 	var err error
-	if o.Key, err = hex(words[2]); err != nil {
+	if o.Key, err = parseHex(words[2]); err != nil {
 		return o, fmt.Errorf("key: %w", err)
 	}
 	var seen [][]byte
-	at := len(body) - len(words[3])
+	offset := len(body) - len(words[3])
 	for _, field := range bytes.Split(words[3], []byte(",")) {
 		name, value, ok := bytes.Cut(field, []byte("="))
 		if !ok || len(value) == 0 {
 			return o, errors.New("want NAME=VALUE in the list of OPEN")
 		}
 		if slices.ContainsFunc(seen, func(s []byte) bool { return bytes.Equal(s, name) }) {
-			return o, fmt.Errorf("%s: told twice", name) // whoever reads on might take the other one
+			// A desk host that parses the forwarded line might use the other value.
+			return o, fmt.Errorf("%s: told twice", name)
 		}
 		seen = append(seen, name)
-		if err := o.field(string(name), value, at+len(name)+1); err != nil {
+		if err := o.parseField(string(name), value, offset+len(name)+1); err != nil {
 			return o, fmt.Errorf("%s: %w", name, err)
 		}
-		at += len(field) + 1
+		offset += len(field) + 1
 	}
 	switch {
 	case o.Class == "":
 		return o, errors.New("OPEN lacks c")
-	case o.to == 0 && o.HostID == "":
+	case o.timeoutEnd == 0 && o.HostID == "":
 		return o, errors.New("OPEN lacks d")
-	case o.to == 0: // it stood before the run: nobody told how long to wait
-		o.Timeout, o.from, o.to = longestHandOver, len(line), len(line)
+	case o.timeoutEnd == 0:
+		o.Timeout, o.timeoutStart, o.timeoutEnd = handoverTimeout, len(line), len(line)
 	}
 	return o, nil
 }
 
-func (o *OpenRequest) field(name string, value []byte, at int) (err error) {
+// parseField parses one field of the list; offset is the position of its value in the line. Unknown fields are ignored.
+func (o *OpenRequest) parseField(name string, value []byte, offset int) (err error) {
 	switch name {
 	case "c":
 		o.Class = string(value)
 	case "d":
 		ms, err := strconv.ParseUint(string(value), 10, 32)
-		if o.Timeout = time.Duration(ms) * time.Millisecond; err != nil || o.Timeout > longestWait {
+		if o.Timeout = time.Duration(ms) * time.Millisecond; err != nil || o.Timeout > maxTimeout {
 			return errors.New("want one figure in milliseconds")
 		}
-		o.from, o.to = at, at+len(value)
+		o.timeoutStart, o.timeoutEnd = offset, offset+len(value)
 	case "t":
 		o.Carrier = string(value)
 	case "g":
-		o.Group, err = hex(value)
+		o.Group, err = parseHex(value)
 		o.HasGroup = true
 	case "h":
 		if _, ok := ParseLoad(value); !ok {
 			return errors.New("want a figure")
 		}
 	case "mid":
-		o.MidFlow, err = flag(value)
+		o.MidFlow, err = parseFlag(value)
 	case "again":
-		o.Returned, err = flag(value)
+		o.Returned, err = parseFlag(value)
 	case "r":
-		_, err = flag(value)
+		_, err = parseFlag(value)
 	case "at":
 		o.HostID = string(value)
 	}
 	return err
 }
 
-func flag(value []byte) (bool, error) {
+func parseFlag(value []byte) (bool, error) {
 	if len(value) != 1 || value[0] != '0' && value[0] != '1' {
 		return false, errors.New("want 0 or 1")
 	}
 	return value[0] == '1', nil
 }
 
-func validID(id string) bool {
+func isValidID(id string) bool {
 	for _, c := range []byte(id) {
 		if c != '-' && (c < '0' || c > '9') && (c|0x20 < 'a' || c|0x20 > 'z') {
 			return false
@@ -191,7 +196,7 @@
 	return len(id) > 0 && len(id) <= 64
 }
 
-func hex(text []byte) (uint64, error) {
+func parseHex(text []byte) (uint64, error) {
 	n, err := strconv.ParseUint(string(text), 16, 64)
 	if err != nil {
 		return 0, errors.New("want a hexadecimal number")
@@ -199,15 +204,16 @@
 	return n, nil
 }
 
-// Raw is the line as it came.
-func (o *OpenRequest) Raw() []byte { return o.text }
+// Raw returns the line as received.
+func (o *OpenRequest) Raw() []byte { return o.raw }
 
-// Forward is the line as it came, but for how long the sender will wait: at least a millisecond.
-func (o *OpenRequest) Forward(wait time.Duration) []byte {
-	out := append([]byte(nil), o.text[:o.from]...)
-	if o.from == o.to {
+// Forward returns the line as received except for the timeout, which is replaced, by at least 1 ms. A line without a
+// timeout is returned unchanged.
+func (o *OpenRequest) Forward(timeout time.Duration) []byte {
+	out := append([]byte(nil), o.raw[:o.timeoutStart]...)
+	if o.timeoutStart == o.timeoutEnd {
 		return out
 	}
-	out = strconv.AppendInt(out, max(wait.Milliseconds(), 1), 10)
-	return append(out, o.text[o.to:]...)
+	out = strconv.AppendInt(out, max(timeout.Milliseconds(), 1), 10)
+	return append(out, o.raw[o.timeoutEnd:]...)
 }
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -10,21 +10,21 @@
 	"github.com/stretchr/testify/require"
 )
 
-const open = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59,mid=1,again=1,r=1,new=x\r\n"
+const openLine = "OPEN 9b1f03aa5c7e2d41 7f3a9c21e0b4d655 c=chat,t=acme,d=2000,g=5c0f6e1a2b3d4c59,mid=1,again=1,r=1,new=x\r\n"
 
-func TestOpeningGoesOnAsItCameButForItsWait(t *testing.T) {
-	o, err := ParseOpenRequest([]byte(open))
+func TestForwardChangesOnlyTheTimeout(t *testing.T) {
+	o, err := ParseOpenRequest([]byte(openLine))
 	require.NoError(t, err)
 	assert.Equal(t, "chat", o.Class)
 	assert.Equal(t, uint64(0x7f3a9c21e0b4d655), o.Key)
 	assert.Equal(t, uint64(0x5c0f6e1a2b3d4c59), o.Group)
 	assert.True(t, o.HasGroup && o.MidFlow && o.Returned)
 	assert.Equal(t, 2*time.Second, o.Timeout)
-	assert.Equal(t, strings.Replace(open, "d=2000", "d=150", 1), string(o.Forward(150*time.Millisecond)))
-	assert.Equal(t, strings.Replace(open, "d=2000", "d=1", 1), string(o.Forward(-time.Second)))
+	assert.Equal(t, strings.Replace(openLine, "d=2000", "d=150", 1), string(o.Forward(150*time.Millisecond)))
+	assert.Equal(t, strings.Replace(openLine, "d=2000", "d=1", 1), string(o.Forward(-time.Second)))
 }
 
-func TestHandedOverNeedsNoWait(t *testing.T) {
+func TestOpenOfEstablishedConnectionNeedsNoTimeout(t *testing.T) {
 	o, err := ParseOpenRequest([]byte("OPEN 1 a c=chat,at=s-1\n"))
 	require.NoError(t, err)
 	assert.Equal(t, "s-1", o.HostID)
@@ -32,7 +32,7 @@
 	assert.Equal(t, "OPEN 1 a c=chat,at=s-1\n", string(o.Forward(time.Second)))
 }
 
-func TestMalformedOpenings(t *testing.T) {
+func TestMalformedOpenRequests(t *testing.T) {
 	for _, text := range []string{"OPEN", "OPEN 1 a", "OPEN  a c=x,d=1", "OPEN 1 z c=x,d=1", "OPEN 1 a c=x", "OPEN 1 a d=1",
 		"OPEN 1 a c=x,d=-1", "OPEN 1 a c=x,d=1,d=2", "OPEN 1 a c=x,d=1,g=q", "OPEN 1 a c=x,d=1,", "OPEN 1 a c=x,d=1 more",
 		"OPEN 1 a c=x,d=99999999999", "OPEN 1 a c=\x00,d=1", "OPEN 1 a c=x,d=4294967295",
@@ -44,7 +44,7 @@
 	}
 }
 
-func TestCut(t *testing.T) {
+func TestNext(t *testing.T) {
 	text, err := Next([]byte("a\r\nb"))
 	assert.NoError(t, err)
 	assert.Equal(t, "a\r\n", string(text))
@@ -61,7 +61,7 @@
 	assert.ErrorIs(t, err, ErrTooLong)
 }
 
-func TestFigures(t *testing.T) {
+func TestReportFieldAndParse(t *testing.T) {
 	x0, ok := ReportField([]byte("eps=0,util=0.61,x0=1.25"), "x0")
 	assert.True(t, ok)
 	assert.Equal(t, 1.25, x0)
@@ -76,9 +76,9 @@
 	assert.Equal(t, Other, kind)
 }
 
-// What is taken for an opening goes on as one line that differs from it in one figure alone.
-func FuzzOpening(f *testing.F) {
-	f.Add([]byte(open))
+// An accepted OPEN line is forwarded as a single line that parses to the same key and class.
+func FuzzParseOpenRequest(f *testing.F) {
+	f.Add([]byte(openLine))
 	f.Add([]byte("OPEN 1 a d=1,c=x\n"))
 	f.Add([]byte("OPEN 1 a c=x,at=s"))
 	f.Add([]byte("OPEN 1 a c=x,d=99999999999999999999,h=1e999,d=-5"))
@@ -89,17 +89,17 @@
 			return
 		}
 		out := o.Forward(o.Timeout)
-		again, err := ParseOpenRequest(out)
+		reparsed, err := ParseOpenRequest(out)
 		require.NoError(t, err)
-		assert.Equal(t, o.Key, again.Key)
-		assert.Equal(t, o.Class, again.Class)
+		assert.Equal(t, o.Key, reparsed.Key)
+		assert.Equal(t, o.Class, reparsed.Class)
 		if i := bytes.IndexByte(out, '\n'); i >= 0 {
 			assert.Equal(t, len(out)-1, i)
 		}
 	})
 }
 
-func FuzzCut(f *testing.F) {
+func FuzzNext(f *testing.F) {
 	f.Add([]byte("UP r\r\nLOAD 3\r\n"))
 	f.Add(bytes.Repeat([]byte("k"), 2*MaxLength))
 	f.Add([]byte("LOAD NaN\r\nLOAD -1\r\nLOAD 1e999\r\n\r\n\n"))
