--- a/internal/settings/config.go
+++ b/internal/settings/config.go
@@ -12,66 +12,70 @@
 	"github.com/mailru/easyjson/jlexer"
 )
 
-// Config is what a balancer on sockets is told at its start.
+// Config is the configuration of a real balancer, one that serves sockets.
 type Config struct {
 	Name, ListenAddr, DiscoveryAddr string
-	AdminAddr                       string // the second address, for operators; there may be none
+	AdminAddr                       string // second address, for operators; optional
 	Seed                            uint64
 	MemoryLimitMB                   int64
 	MaxSockets                      int
-	KnownHosts                      []byte // the list of desk hosts in discovery's form, as last held
+	KnownHosts                      []byte // the last known host list, as JSON in discovery's format
 	Settings                        Settings
 }
 
-// Source is where the configuration comes from: the environment and the file that it names. The file may be
-// replaced; it is read again by each Load.
+// Source loads the configuration from the environment and the file that it names. The file may be replaced; each Load
+// reads it again.
 type Source struct {
-	getenv          func(string) string
-	loaded          bool
-	inFile, inForce string          // the address of discovery as the file told it last, and as taken
-	keys            map[string]bool // that the file had at the start
+	getenv              func(string) string
+	hasLoaded           bool
+	fileDiscoveryAddr   string          // in the file that was last loaded
+	activeDiscoveryAddr string          // in the Config that was last returned
+	initialKeys         map[string]bool // in the file that was loaded first
 }
 
-// NewSource makes a source of an environment.
+// NewSource returns a Source that looks up environment variables with getenv.
 func NewSource(getenv func(string) string) *Source { return &Source{getenv: getenv} }
 
-// Load reads and checks the whole configuration. The environment, where it speaks, goes before the file; but
-// an address of discovery that the file tells anew goes before all else, or a moved discovery could not be
-// told to a running balancer.
+// Load reads and checks the configuration. Environment variables take precedence over the file, except that a discovery
+// address which has changed in the file takes precedence over EDGE_DISCOVERY: otherwise a running balancer could not be
+// given a new one.
 func (s *Source) Load() (Config, error) {
-	c, keys, err := load(s.getenv)
+	c, keys, err := readConfig(s.getenv)
 	if err != nil {
 		return Config{}, err
 	}
-	for _, key := range slices.Sorted(maps.Keys(s.keys)) {
-		if !keys[key] { // danger: a file cut together badly would silently undo what it leaves out
-			return Config{}, fmt.Errorf("configuration: lacks %s, which it had at the start", key)
+	for _, key := range slices.Sorted(maps.Keys(s.initialKeys)) {
+		// Without this check, a file that was assembled incorrectly would silently reset the settings that it omits.
+		if !keys[key] {
+			return Config{}, fmt.Errorf("configuration: key %s is missing, but was present at the start", key)
 		}
 	}
-	inFile := c.DiscoveryAddr
-	switch told := s.getenv("EDGE_DISCOVERY"); {
-	case s.loaded && inFile == s.inFile:
-		c.DiscoveryAddr = s.inForce
-	case !s.loaded && told != "":
-		c.DiscoveryAddr = told
+	fromFile := c.DiscoveryAddr
+	switch fromEnv := s.getenv("EDGE_DISCOVERY"); {
+	case s.hasLoaded && fromFile == s.fileDiscoveryAddr:
+		c.DiscoveryAddr = s.activeDiscoveryAddr
+	case !s.hasLoaded && fromEnv != "":
+		c.DiscoveryAddr = fromEnv
 	}
 	if c.AdminAddr == c.ListenAddr && c.AdminAddr != "" {
-		return Config{}, errors.New("configuration: the second address is the one of the clients")
+		return Config{}, errors.New("configuration: admin address and listen address are the same")
 	}
 	if c.ListenAddr == "" || c.DiscoveryAddr == "" {
-		return Config{}, errors.New("configuration: no address to listen on, or none of discovery")
+		return Config{}, errors.New("configuration: no address to listen on, or no address of discovery")
 	}
-	if !s.loaded {
-		s.keys = keys
+	if !s.hasLoaded {
+		s.initialKeys = keys
 	}
-	s.loaded, s.inFile, s.inForce = true, inFile, c.DiscoveryAddr
+	s.hasLoaded, s.fileDiscoveryAddr, s.activeDiscoveryAddr = true, fromFile, c.DiscoveryAddr
 	return c, nil
 }
 
-func load(getenv func(string) string) (c Config, has map[string]bool, err error) {
+// readConfig reads the configuration file and applies the environment variables other than EDGE_DISCOVERY. keys is the
+// set of keys in the file.
+func readConfig(getenv func(string) string) (c Config, keys map[string]bool, err error) {
 	path := getenv("EDGE_CONFIG")
 	if path == "" {
-		return c, nil, errors.New("EDGE_CONFIG names no file")
+		return c, nil, errors.New("EDGE_CONFIG is not set; it must name the configuration file")
 	}
 	raw, err := os.ReadFile(path)
 	if err != nil {
@@ -86,21 +90,21 @@
 			*field = value
 		}
 	}
-	has = map[string]bool{}
-	keys(&jlexer.Lexer{Data: raw}, "", has)
-	return c, has, nil
+	keys = map[string]bool{}
+	collectKeys(&jlexer.Lexer{Data: raw}, "", keys)
+	return c, keys, nil
 }
 
-// keys collects the keys of an object and of those in it, as paths. What is known of desk hosts has a form of its
-// own; classes come and go, so arrays count as values.
-func keys(l *jlexer.Lexer, path string, has map[string]bool) {
+// collectKeys adds the keys of an object and of the objects in it to keys, as dotted paths. It does not descend into
+// the list of known hosts, which has a format of its own, or into arrays, as classes may be added and removed.
+func collectKeys(l *jlexer.Lexer, path string, keys map[string]bool) {
 	l.Delim('{')
 	for !l.IsDelim('}') && l.Ok() {
 		key := path + l.String()
-		has[key] = true
+		keys[key] = true
 		l.WantColon()
-		if l.IsDelim('{') && l.CurrentToken() == jlexer.TokenDelim && key != "known" && strings.Count(key, ".") < deepest {
-			keys(l, key+".", has)
+		if l.IsDelim('{') && l.CurrentToken() == jlexer.TokenDelim && key != "known" && strings.Count(key, ".") < maxKeyDots {
+			collectKeys(l, key+".", keys)
 		} else {
 			l.SkipRecursive()
 		}
@@ -109,13 +113,13 @@
 	l.Delim('}')
 }
 
-// deepest bounds the paths: those of settings that the program reads have two dots.
-const deepest = 2
+// maxKeyDots bounds the depth of collectKeys; no key that the program reads has more than two dots.
+const maxKeyDots = 2
 
-// DecodeConfig reads the text of the configuration file.
+// DecodeConfig parses the text of a configuration file.
 func DecodeConfig(raw []byte) (Config, error) {
 	var c Config
-	var told bool
+	var hasSettings bool
 	l := &jlexer.Lexer{Data: raw}
 	ForEachField(l, func(field string) {
 		switch field {
@@ -130,7 +134,7 @@
 		case "seed":
 			seed, err := strconv.ParseUint(l.String(), 16, 64)
 			if err != nil {
-				l.AddError(errors.New("the seed is not a hexadecimal number"))
+				l.AddError(errors.New("seed is not a hexadecimal number"))
 			}
 			c.Seed = seed
 		case "limits":
@@ -147,12 +151,12 @@
 		case "known":
 			c.KnownHosts = l.Raw()
 		case "settings":
-			told = true
-			set, err := DecodeWhole(l.Raw())
+			hasSettings = true
+			settings, err := DecodeStrict(l.Raw())
 			if err != nil {
 				l.AddError(err)
 			}
-			c.Settings = set
+			c.Settings = settings
 		default:
 			l.SkipRecursive()
 		}
@@ -161,8 +165,8 @@
 	if err := l.Error(); err != nil {
 		return Config{}, fmt.Errorf("configuration: %v", err)
 	}
-	if !told {
-		return Config{}, errors.New("configuration: no settings")
+	if !hasSettings {
+		return Config{}, errors.New("configuration: key settings is missing")
 	}
 	return c, nil
 }
--- a/internal/settings/fields.go
+++ b/internal/settings/fields.go
@@ -8,152 +8,153 @@
 	"tealtiller/policy"
 )
 
-func (d *decoder) time() time.Duration { return time.Duration(d.l.Int64()) }
+func (d *decoder) duration() time.Duration { return time.Duration(d.lexer.Int64()) }
 
-func (d *decoder) top(field string) {
-	p := &d.out.Policy
+func (d *decoder) decodeSettings(field string) {
+	p := &d.settings.Policy
 	switch field {
 	case "tick":
-		p.Tick = d.time()
+		p.Tick = d.duration()
 	case "siblings":
-		p.Siblings = d.l.Int()
+		p.Siblings = d.lexer.Int()
 	case "allowed":
-		ForEachField(d.l, d.allowed)
+		ForEachField(d.lexer, d.decodeAllowed)
 	case "discovery":
-		p.MustWatch = d.l.String() == "subscribe"
+		p.MustWatch = d.lexer.String() == "subscribe"
 	case "locality":
-		p.Zone = d.l.String()
+		p.Zone = d.lexer.String()
 	case "familyInfo":
-		ForEachField(d.l, d.family)
+		ForEachField(d.lexer, d.decodeFamilyInfo)
 	case "grades":
-		ForEachElement(d.l, func() {
-			// the strictest, for a word not known
-			g := grade{class: policy.Class{Effect: policy.Unsafe, DedupScope: policy.ScopeCell}}
-			ForEachField(d.l, func(field string) { d.grade(&g, field) })
-			d.grades = append(d.grades, g)
+		ForEachElement(d.lexer, func() {
+			// An unknown effect or scope is treated as the strictest one.
+			c := classEntry{class: policy.Class{Effect: policy.Unsafe, DedupScope: policy.ScopeCell}}
+			ForEachField(d.lexer, func(field string) { d.decodeClass(&c, field) })
+			d.classes = append(d.classes, c)
 		})
 	case "invariants":
-		ForEachField(d.l, d.invariants)
+		ForEachField(d.lexer, d.decodeInvariants)
 	case "prices":
-		ForEachField(d.l, d.prices)
+		ForEachField(d.lexer, d.decodePrices)
 	default:
-		d.l.SkipRecursive()
+		d.lexer.SkipRecursive()
 	}
 }
 
-func (d *decoder) allowed(field string) {
+func (d *decoder) decodeAllowed(field string) {
 	switch field {
 	case "tryLimit":
-		d.out.Policy.MaxAttempts = d.l.Int()
+		d.settings.Policy.MaxAttempts = d.lexer.Int()
 	case "peers":
-		d.out.Policy.SiblingMessaging = d.l.Bool()
+		d.settings.Policy.SiblingMessaging = d.lexer.Bool()
 	case "probing":
-		d.out.ProbesAllowed = d.l.Bool()
+		d.settings.ProbesAllowed = d.lexer.Bool()
 	case "retryAfter":
-		d.out.SendRetryAfter = d.l.Bool()
+		d.settings.SendRetryAfter = d.lexer.Bool()
 	case "connectTimeout":
-		d.out.ConnectTimeout = d.time()
+		d.settings.ConnectTimeout = d.duration()
 	default:
-		d.l.SkipRecursive()
+		d.lexer.SkipRecursive()
 	}
 }
 
-func (d *decoder) family(field string) {
+func (d *decoder) decodeFamilyInfo(field string) {
 	switch field {
 	case "messageAim":
-		ForEachElement(d.l, func() { d.messageAims = append(d.messageAims, d.time()) })
+		ForEachElement(d.lexer, func() { d.messageTargets = append(d.messageTargets, d.duration()) })
 	case "tenantQuotaConnections":
-		ForEachElement(d.l, func() { d.out.Policy.QuotaConnections += max(d.l.Float64(), 0) })
+		ForEachElement(d.lexer, func() { d.settings.Policy.QuotaConnections += max(d.lexer.Float64(), 0) })
 	case "groups":
-		d.out.KeyByGroup = d.l.Bool()
+		d.settings.KeyByGroup = d.lexer.Bool()
 	case "mode":
-		d.out.PassThrough = d.l.String() == "pass"
+		d.settings.PassThrough = d.lexer.String() == "pass"
 	default:
-		d.l.SkipRecursive()
+		d.lexer.SkipRecursive()
 	}
 }
 
-func (d *decoder) grade(g *grade, field string) {
+func (d *decoder) decodeClass(c *classEntry, field string) {
 	switch field {
 	case "name":
-		g.name = d.l.String()
+		c.name = d.lexer.String()
 	case "aim":
-		g.class.SetupTarget = d.time()
+		c.class.SetupTarget = d.duration()
 	case "deadline":
-		g.deadline = d.time()
-		d.out.MaxDeadline = max(d.out.MaxDeadline, g.deadline)
+		c.deadline = d.duration()
+		d.settings.MaxDeadline = max(d.settings.MaxDeadline, c.deadline)
 	case "effect":
-		if effect, ok := effects[d.l.String()]; ok {
-			g.class.Effect = effect
+		if effect, ok := effectsByName[d.lexer.String()]; ok {
+			c.class.Effect = effect
 		}
 	case "dedupScope":
-		if scope, ok := scopes[d.l.String()]; ok {
-			g.class.DedupScope = scope
+		if scope, ok := scopesByName[d.lexer.String()]; ok {
+			c.class.DedupScope = scope
 		}
 	case "repeatWindow":
-		g.class.DedupWindow = d.time()
+		c.class.DedupWindow = d.duration()
 	default:
-		d.l.SkipRecursive()
+		d.lexer.SkipRecursive()
 	}
 }
 
-func (d *decoder) invariants(field string) {
-	p := &d.out.Policy
+func (d *decoder) decodeInvariants(field string) {
+	p := &d.settings.Policy
 	switch field {
 	case "askWithin":
-		p.MaxWatchInterval = d.time()
+		p.MaxWatchInterval = d.duration()
 	case "coldFrom":
-		p.ColdCapacityShare = d.l.Float64()
+		p.ColdCapacityShare = d.lexer.Float64()
 	case "warmAfter":
-		p.WarmAfter = d.time()
+		p.WarmAfter = d.duration()
 	case "stopSendingWithin":
-		p.DrainGrace = d.time()
+		p.DrainGrace = d.duration()
 	case "overloadFactor":
-		p.OverloadFactor = d.l.Float64()
+		p.OverloadFactor = d.lexer.Float64()
 	case "fall":
-		p.OverloadSpan = d.time()
+		p.OverloadSpan = d.duration()
 	case "spareAttempts":
-		d.spare = new(d.l.Float64())
+		d.retryBudgetBase = new(d.lexer.Float64())
 	case "resendRatio":
-		d.ratio = new(d.l.Float64())
+		d.retryBudgetRatio = new(d.lexer.Float64())
 	case "ratioSpan":
-		p.RetryBudgetSpan = d.time()
+		p.RetryBudgetSpan = d.duration()
 	case "onlyDrainingBinds":
-		p.GoneServersUsable = d.l.Bool()
+		p.GoneServersUsable = d.lexer.Bool()
 	default:
-		d.l.SkipRecursive()
+		d.lexer.SkipRecursive()
 	}
 }
 
-func (d *decoder) prices(field string) {
+func (d *decoder) decodePrices(field string) {
 	switch field {
 	case "crossZone":
-		d.out.Policy.CrossZoneCost = max(d.l.Float64(), 0)
+		d.settings.Policy.CrossZoneCost = max(d.lexer.Float64(), 0)
 	default:
-		d.l.SkipRecursive()
+		d.lexer.SkipRecursive()
 	}
 }
 
-// budget hands on the budget of attempts. Half of one is malformed: it would be kept by nobody.
-func (d *decoder) budget() error {
-	p := &d.out.Policy
-	given := d.spare != nil || d.ratio != nil
+// applyRetryBudget checks the retry budget and copies it to the policy's settings. A budget that is only partly
+// specified is an error, as nothing would enforce it.
+func (d *decoder) applyRetryBudget() error {
+	p := &d.settings.Policy
+	hasLimit := d.retryBudgetBase != nil || d.retryBudgetRatio != nil
 	switch {
 	case p.RetryBudgetSpan < 0:
-		return fmt.Errorf("settings: ratioSpan of %v", p.RetryBudgetSpan)
-	case given && p.RetryBudgetSpan == 0:
-		return errors.New("settings: a budget of attempts without its ratioSpan")
-	case !given && p.RetryBudgetSpan > 0:
-		return errors.New("settings: a ratioSpan without spareAttempts or resendRatio")
+		return fmt.Errorf("settings: ratioSpan of %v must not be negative", p.RetryBudgetSpan)
+	case hasLimit && p.RetryBudgetSpan == 0:
+		return errors.New("settings: spareAttempts or resendRatio without its ratioSpan")
+	case !hasLimit && p.RetryBudgetSpan > 0:
+		return errors.New("settings: ratioSpan without spareAttempts or resendRatio")
 	}
-	if d.spare != nil {
-		p.RetryBudgetBase = *d.spare
+	if d.retryBudgetBase != nil {
+		p.RetryBudgetBase = *d.retryBudgetBase
 	}
-	if d.ratio != nil {
-		p.RetryBudgetRatio = *d.ratio
+	if d.retryBudgetRatio != nil {
+		p.RetryBudgetRatio = *d.retryBudgetRatio
 	}
 	if p.RetryBudgetBase < 0 || p.RetryBudgetRatio < 0 {
-		return fmt.Errorf("settings: a budget of %v spare attempts and a ratio of %v", p.RetryBudgetBase, p.RetryBudgetRatio)
+		return fmt.Errorf("settings: retry budget of %v spare attempts and a ratio of %v must not be negative", p.RetryBudgetBase, p.RetryBudgetRatio)
 	}
 	return nil
 }
--- a/internal/settings/settings.go
+++ b/internal/settings/settings.go
@@ -1,5 +1,5 @@
-// Package settings decodes the settings object that every instance gets at its start: from the simulator's
-// first message, or from the configuration of a real balancer. Only what the program uses is taken out.
+// Package settings decodes the settings object that every balancer gets at its start, either in the simulator's first
+// message or in the configuration file of a real balancer. Only the fields that the program uses are decoded.
 package settings
 
 import (
@@ -13,24 +13,25 @@
 	"tealtiller/policy"
 )
 
-// Settings are the module's settings and those that only a balancer on sockets needs.
+// Settings are the policy's settings and those that only a real balancer needs.
 type Settings struct {
 	Policy         policy.Settings
-	ConnectTimeout time.Duration // a connection that is not up by then failed
-	KeyByGroup     bool          // a connection's group is its key
-	ProbesAllowed  bool          // desk hosts may be asked for load reports
-	SendRetryAfter bool          // a refused client may be told when to come back
+	ConnectTimeout time.Duration // time after which a connection attempt to a host has failed
+	KeyByGroup     bool          // connections are placed by their group instead of their own key
+	ProbesAllowed  bool          // desk hosts may be probed for load reports
+	SendRetryAfter bool          // refusals may include a retry time
 	PassThrough    bool          // packets pass through: connections outlive this process
-	MaxDeadline    time.Duration // the longest of any class
+	MaxDeadline    time.Duration // the longest deadline of any class
 }
 
-var effects = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
+var effectsByName = map[string]policy.Effect{"safe": policy.Safe, "keyed": policy.Keyed, "unsafe": policy.Unsafe}
 
-var scopes = map[string]policy.Scope{
+var scopesByName = map[string]policy.Scope{
 	"all": policy.ScopeAll, "zone": policy.ScopeZone, "cell": policy.ScopeCell,
 }
 
-// ForEachField calls visit for each field of the object that comes next; null has none.
+// ForEachField calls visit for each non-null field of the object at the lexer's position; null is treated as an empty
+// object.
 func ForEachField(l *jlexer.Lexer, visit func(field string)) {
 	if l.IsNull() {
 		l.Skip()
@@ -40,7 +41,7 @@
 	for !l.IsDelim('}') && l.Ok() {
 		field := l.UnsafeFieldName(false)
 		l.WantColon()
-		if l.IsNull() { // not told
+		if l.IsNull() { // same as a missing field
 			l.Skip()
 		} else {
 			visit(field)
@@ -50,7 +51,7 @@
 	l.Delim('}')
 }
 
-// ForEachElement calls visit for each element of the array that comes next; null has none.
+// ForEachElement calls visit for each element of the array at the lexer's position; null is treated as an empty array.
 func ForEachElement(l *jlexer.Lexer, visit func()) {
 	if l.IsNull() {
 		l.Skip()
@@ -64,66 +65,70 @@
 	l.Delim(']')
 }
 
-type grade struct {
+// classEntry is one element of the array of classes.
+type classEntry struct {
 	name     string
 	class    policy.Class
 	deadline time.Duration
 }
 
+// decoder holds the fields decoded so far, including those that are combined at the end.
 type decoder struct {
-	l           *jlexer.Lexer
-	out         Settings
-	grades      []grade
-	messageAims []time.Duration
-	spare       *float64
-	ratio       *float64
+	lexer            *jlexer.Lexer
+	settings         Settings
+	classes          []classEntry
+	messageTargets   []time.Duration
+	retryBudgetBase  *float64
+	retryBudgetRatio *float64
 }
 
-// Decode reads the settings object; unknown fields are skipped.
+// Decode parses the settings object from the simulator; unknown fields are skipped.
 func Decode(raw []byte) (Settings, error) {
 	return decode(raw, false, func(*decoder) error { return nil })
 }
 
-// DecodeWhole reads the settings object of a real balancer, in which nothing that its answers depend on may lack. Only
-// such a one asks desk hosts for reports; on the simulator's wire notes on connections tell of load.
-func DecodeWhole(raw []byte) (Settings, error) { return decode(raw, true, (*decoder).whole) }
+// DecodeStrict parses the settings object of a real balancer, and fails if a field is missing that its answers depend
+// on. Only real balancers probe desk hosts; the simulator reports load as metrics of connections.
+func DecodeStrict(raw []byte) (Settings, error) { return decode(raw, true, (*decoder).checkComplete) }
 
-// whole tells what lacks. Danger: a number that is not told, or null, would be taken as 0, and 0 attempts as 1.
-func (d *decoder) whole() error {
-	if len(d.grades) == 0 {
+// checkComplete returns an error if required fields are missing. Without this check, a number that is missing or null
+// would be taken as 0, and 0 attempts as 1.
+func (d *decoder) checkComplete() error {
+	if len(d.classes) == 0 {
 		return errors.New("settings: no classes")
 	}
-	if n := d.out.Policy.MaxAttempts; n <= 0 {
-		return fmt.Errorf("settings: tryLimit of %d, or none", n)
+	if n := d.settings.Policy.MaxAttempts; n <= 0 {
+		return fmt.Errorf("settings: tryLimit is missing or not above 0: %d", n)
 	}
-	for _, g := range d.grades {
-		if g.name == "" || g.deadline <= 0 {
-			return fmt.Errorf("settings: class %q with a deadline of %v, or none", g.name, g.deadline)
+	for _, c := range d.classes {
+		if c.name == "" || c.deadline <= 0 {
+			return fmt.Errorf("settings: class %q: name or deadline is missing, or the deadline is not above 0: %v", c.name, c.deadline)
 		}
 	}
 	return nil
 }
 
-func decode(raw []byte, asks bool, check func(*decoder) error) (Settings, error) {
-	d := &decoder{l: &jlexer.Lexer{Data: raw}}
-	p := &d.out.Policy
-	ForEachField(d.l, d.top)
-	d.l.Consumed()
-	if err := d.l.Error(); err != nil {
-		return Settings{}, fmt.Errorf("settings: %v", err) // not wrapped: its EOF is not ours
+func decode(raw []byte, canProbe bool, check func(*decoder) error) (Settings, error) {
+	d := &decoder{lexer: &jlexer.Lexer{Data: raw}}
+	p := &d.settings.Policy
+	ForEachField(d.lexer, d.decodeSettings)
+	d.lexer.Consumed()
+	if err := d.lexer.Error(); err != nil {
+		// Not wrapped, as a caller could take the lexer's EOF for the end of its own input.
+		return Settings{}, fmt.Errorf("settings: %v", err)
 	}
-	if err := cmp.Or(d.budget(), check(d)); err != nil {
+	if err := cmp.Or(d.applyRetryBudget(), check(d)); err != nil {
 		return Settings{}, err
 	}
 	p.MaxAttempts = max(p.MaxAttempts, 1)
-	p.Probes = asks && d.out.ProbesAllowed
+	p.Probes = canProbe && d.settings.ProbesAllowed
 	p.Tick = max(p.Tick, time.Millisecond)
-	p.Classes = make(map[string]policy.Class, len(d.grades))
-	for i, g := range d.grades {
-		if i < len(d.messageAims) {
-			g.class.MessageTarget = d.messageAims[i]
+	p.Classes = make(map[string]policy.Class, len(d.classes))
+	for i, c := range d.classes {
+		if i < len(d.messageTargets) {
+			c.class.MessageTarget = d.messageTargets[i]
 		}
-		p.Classes[g.name] = g.class
+		p.Classes[c.name] = c.class
 	}
-	return d.out, nil
+	return d.settings, nil
 }
