--- a/internal/operator/blocks.go
+++ b/internal/operator/blocks.go
@@ -1,28 +1,28 @@
 package operator
 
-// document is the whole of an operator's file, as HCL has it.
-type document struct {
+// fileBody is the top level of an operator's file.
+type fileBody struct {
 	Cells     *cellsBlock     `hcl:"cells,block"`
 	Placement *placementBlock `hcl:"placement,block"`
 	Failover  *failoverBlock  `hcl:"failover,block"`
 }
 
-// failoverBlock turns zone shares on; every figure may be left out for its default (docs/failover.md).
+// failoverBlock turns zone shares on; every attribute is optional and has a default (docs/failover.md).
 type failoverBlock struct {
-	Warm     string   `hcl:"warm,optional"`
-	ColdFrom *float64 `hcl:"cold_from,optional"`
-	Span     string   `hcl:"span,optional"`
-	Least    *float64 `hcl:"least,optional"`
-	Enter    *float64 `hcl:"enter,optional"`
-	Leave    *float64 `hcl:"leave,optional"`
-	Swing    *float64 `hcl:"swing,optional"`
+	WarmUp             string   `hcl:"warm,optional"`
+	ColdCapacity       *float64 `hcl:"cold_from,optional"`
+	DecayTime          string   `hcl:"span,optional"`
+	MinOutcomes        *float64 `hcl:"least,optional"`
+	ShunThreshold      *float64 `hcl:"enter,optional"`
+	RecoverThreshold   *float64 `hcl:"leave,optional"`
+	MaxChangePerSecond *float64 `hcl:"swing,optional"`
 }
 
 type placementBlock struct {
-	Plan      string `hcl:"plan,optional"`
-	Record    string `hcl:"record,optional"`
-	Every     string `hcl:"record_every,optional"`
-	LargestMB *int   `hcl:"record_largest_mb,optional"`
+	Plan            string `hcl:"plan,optional"`
+	Record          string `hcl:"record,optional"`
+	RecordEvery     string `hcl:"record_every,optional"`
+	RecordLargestMB *int   `hcl:"record_largest_mb,optional"`
 }
 
 type cellsBlock struct {
--- a/internal/operator/failover.go
+++ b/internal/operator/failover.go
@@ -6,45 +6,46 @@
 	"tealtiller/internal/failover"
 )
 
-// Bounds of the figures of zone shares.
+// Bounds of the failover attributes.
 const (
-	leastFailoverSpan, mostFailoverSpan = 100 * time.Millisecond, 10 * time.Minute
-	leastPart                           = 0.01 // of what must be above 0
-	mostLeast                           = 1000
+	minFailoverDuration, maxFailoverDuration = 100 * time.Millisecond, 10 * time.Minute
+	minPositiveFraction                      = 0.01 // for fractions that must not be 0
+	minOutcomesLimit                         = 1000
 )
 
-// failover reads the settings of the zone shares; what the file leaves out has its default.
-func (r *reader) failover(b *failoverBlock) *failover.Settings {
-	set := failover.DefaultSettings
-	r.failoverSpan("warm", b.Warm, &set.WarmUp)
-	r.failoverSpan("span", b.Span, &set.DecayTime)
-	r.part("cold_from", b.ColdFrom, 0, &set.ColdCapacity)
-	r.part("enter", b.Enter, leastPart, &set.ShunThreshold)
-	r.part("leave", b.Leave, 0, &set.RecoverThreshold)
-	r.part("swing", b.Swing, leastPart, &set.MaxChangePerSecond)
-	if b.Least != nil {
-		if set.MinOutcomes = *b.Least; *b.Least < 1 || *b.Least > mostLeast {
-			r.fail("", "", "least", "want a figure from 1 to 1000")
+// readFailover converts the failover block; attributes that are omitted keep their defaults.
+func (r *reader) readFailover(b *failoverBlock) *failover.Settings {
+	settings := failover.DefaultSettings
+	r.readFailoverDuration("warm", b.WarmUp, &settings.WarmUp)
+	r.readFailoverDuration("span", b.DecayTime, &settings.DecayTime)
+	r.readFraction("cold_from", b.ColdCapacity, 0, &settings.ColdCapacity)
+	r.readFraction("enter", b.ShunThreshold, minPositiveFraction, &settings.ShunThreshold)
+	r.readFraction("leave", b.RecoverThreshold, 0, &settings.RecoverThreshold)
+	r.readFraction("swing", b.MaxChangePerSecond, minPositiveFraction, &settings.MaxChangePerSecond)
+	if b.MinOutcomes != nil {
+		if settings.MinOutcomes = *b.MinOutcomes; *b.MinOutcomes < 1 || *b.MinOutcomes > minOutcomesLimit {
+			r.addError("", "", "least", "must be between 1 and %d", minOutcomesLimit)
 		}
 	}
-	if set.RecoverThreshold >= set.ShunThreshold {
-		r.fail("", "", "leave", "want less than enter (%g), or a zone would flap", set.ShunThreshold)
+	if settings.RecoverThreshold >= settings.ShunThreshold {
+		r.addError("", "", "leave", "must be less than enter (%g), or the zone's state would flap", settings.ShunThreshold)
 	}
-	return &set
+	return &settings
 }
 
-func (r *reader) failoverSpan(attribute, text string, into *time.Duration) {
+// readFailoverDuration sets into to an optional duration; if text is empty, into keeps its default.
+func (r *reader) readFailoverDuration(attribute, text string, into *time.Duration) {
 	if text != "" {
-		*into = r.span(attribute, text, leastFailoverSpan, mostFailoverSpan, "100ms to 10m")
+		*into = r.parseDuration(attribute, text, minFailoverDuration, maxFailoverDuration, "100ms to 10m")
 	}
 }
 
-// part reads a figure of at most 1.
-func (r *reader) part(attribute string, v *float64, low float64, into *float64) {
+// readFraction sets into to an optional value between low and 1; if v is nil, into keeps its default.
+func (r *reader) readFraction(attribute string, v *float64, low float64, into *float64) {
 	if v == nil {
 		return
 	}
 	if *into = *v; *v < low || *v > 1 {
-		r.fail("", "", attribute, "want a figure from %g to 1", low)
+		r.addError("", "", attribute, "must be between %g and 1", low)
 	}
 }
--- a/internal/operator/operator.go
+++ b/internal/operator/operator.go
@@ -1,6 +1,6 @@
-// Package operator reads the operator's own file, in which everything is set that the platform's configuration does
-// not know. It owns the file's form (HCL) and promises that a file is taken whole or not at all: whatever is wrong in
-// it is told with file, line, column and reason, every error and not only the first.
+// Package operator reads the operator's own file, an HCL file with all settings that are not part of the platform's
+// configuration. A file is either accepted completely or rejected: all errors in it are reported, not only the first,
+// each with file, line, column and reason.
 package operator
 
 import (
@@ -19,23 +19,23 @@
 	"tealtiller/internal/placement"
 )
 
-// File is what an operator's file says.
+// File is the content of an operator's file.
 type File struct {
 	Cells     *cells.Plan // nil: no cells
 	Placement Placement
 	Failover  *failover.Settings // nil: off
 }
 
-// Placement is where a plan is read and what a balancer sees is recorded.
+// Placement configures the placement plan, and the file in which a balancer records its connections and hosts.
 type Placement struct {
 	Plan           *placement.Plan // nil: no plan
-	PlanPath       string          // of the plan
-	RecordPath     string          // path of the record file; empty: none is written
-	RecordInterval time.Duration   // from one record to the next
-	MaxRecordBytes int64           // bytes of a record file, from where on it is begun anew
+	PlanPath       string
+	RecordPath     string        // empty: no records are written
+	RecordInterval time.Duration // time between two records
+	MaxRecordBytes int64         // size at which a new record file is started
 }
 
-// ErrorList is all that is wrong with a file, one place a line.
+// ErrorList is all errors in a file, each with its position.
 type ErrorList []string
 
 func (e ErrorList) Error() string {
@@ -45,73 +45,74 @@
 	return fmt.Sprintf("%s (and %d more errors)", e[0], len(e)-1)
 }
 
-// mostBytes bounds a file. Danger: one that is no operator's file at all could fill the memory.
-const mostBytes = 1 << 20
+// maxFileBytes bounds the size of a file. Without the limit, loading a wrong file could exhaust the memory.
+const maxFileBytes = 1 << 20
 
-// errCutShort refuses a file of no bytes. Danger: that is what a write leaves that a full disk has stopped, and to take it
-// would turn off all that is in force. A file that means to turn all off holds a comment.
-var errCutShort = errors.New("empty: cut short, or without a comment")
+// errEmptyFile is returned for a file of 0 bytes. A write that fails on a full disk leaves such a file; accepting it
+// would turn off everything that is configured. A file that is meant to turn everything off must contain a comment.
+var errEmptyFile = errors.New("empty; the file may be truncated (to turn everything off, write a comment)")
 
-// Load reads and checks a file.
+// Load reads and checks a file. An error in the content is an ErrorList.
 func Load(path string) (*File, error) {
 	info, err := os.Stat(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
 	}
-	if info.Size() > mostBytes {
-		return nil, fmt.Errorf("operator's file: %s holds %d bytes; at most %d", path, info.Size(), mostBytes)
+	if info.Size() > maxFileBytes {
+		return nil, fmt.Errorf("operator's file: %s is too large: %d bytes; at most %d", path, info.Size(), maxFileBytes)
 	}
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, fmt.Errorf("operator's file: %w", err)
 	}
 	if len(text) == 0 && info.Mode().IsRegular() {
-		return nil, fmt.Errorf("operator's file: %s is %w", path, errCutShort)
+		return nil, fmt.Errorf("operator's file: %s is %w", path, errEmptyFile)
 	}
 	return Parse(text, path)
 }
 
-// Parse reads and checks the text of a file; name is what errors call it. An error is an Error.
+// Parse parses and checks the text of a file. name is the file name in errors, and relative paths in the text are
+// relative to its folder. An error is an ErrorList.
 func Parse(text []byte, name string) (*File, error) {
 	r := &reader{}
 	parsed, diags := hclsyntax.ParseConfig(text, name, hcl.InitialPos)
-	r.diagnose(diags)
+	r.addDiagnostics(diags)
 	if parsed == nil || diags.HasErrors() {
-		return nil, r.error(name)
+		return nil, r.err(name)
 	}
-	var doc document
-	r.diagnose(gohcl.DecodeBody(parsed.Body, nil, &doc))
+	var blocks fileBody
+	r.addDiagnostics(gohcl.DecodeBody(parsed.Body, nil, &blocks))
 	body, _ := parsed.Body.(*hclsyntax.Body)
-	out := r.file(&doc, body, filepath.Dir(name))
-	if err := r.error(name); err != nil {
+	file := r.readBlocks(&blocks, body, filepath.Dir(name))
+	if err := r.err(name); err != nil {
 		return nil, err
 	}
-	return out, nil
+	return file, nil
 }
 
-// file reads the blocks one after the other, as long as none has an error.
-func (r *reader) file(doc *document, body *hclsyntax.Body, folder string) *File {
-	out := &File{}
-	if doc.Cells != nil && r.begin(body, "cells") {
-		out.Cells = r.plan(doc.Cells)
+// readBlocks converts the blocks one after the other, and stops after one with an error.
+func (r *reader) readBlocks(blocks *fileBody, body *hclsyntax.Body, folder string) *File {
+	file := &File{}
+	if blocks.Cells != nil && r.beginBlock(body, "cells") {
+		file.Cells = r.readCells(blocks.Cells)
 	}
-	if doc.Placement != nil && r.begin(body, "placement") {
-		r.placement(doc.Placement, folder, &out.Placement)
+	if blocks.Placement != nil && r.beginBlock(body, "placement") {
+		r.readPlacement(blocks.Placement, folder, &file.Placement)
 	}
-	if doc.Failover != nil && r.begin(body, "failover") {
-		out.Failover = r.failover(doc.Failover)
+	if blocks.Failover != nil && r.beginBlock(body, "failover") {
+		file.Failover = r.readFailover(blocks.Failover)
 	}
-	if given := out.Placement.Plan; given != nil && out.Cells != nil {
-		out.Cells.PlacementCell = given.Cell
+	if plan := file.Placement.Plan; plan != nil && file.Cells != nil {
+		file.Cells.PlacementCell = plan.Cell
 	}
-	return out
+	return file
 }
 
-// begin turns to a block, and tells whether there was no error before it.
-func (r *reader) begin(body *hclsyntax.Body, block string) bool {
-	if len(r.errors) > 0 {
+// beginBlock makes a block the current one, to which positions refer. It returns false if there have been errors.
+func (r *reader) beginBlock(body *hclsyntax.Body, block string) bool {
+	if len(r.problems) > 0 {
 		return false
 	}
-	r.places = index(body, block)
+	r.ranges = indexRanges(body, block)
 	return true
 }
--- a/internal/operator/operator_test.go
+++ b/internal/operator/operator_test.go
@@ -13,7 +13,7 @@
 	"tealtiller/internal/failover"
 )
 
-const good = `cells {
+const validFile = `cells {
   default = "a"
   cell "a" {
     share    = 0.5
@@ -37,8 +37,8 @@
 }
 `
 
-func TestAGoodFile(t *testing.T) {
-	f, err := Parse([]byte(good), "f.hcl")
+func TestParseValidFile(t *testing.T) {
+	f, err := Parse([]byte(validFile), "f.hcl")
 	require.NoError(t, err)
 	require.Len(t, f.Cells.Cells, 2)
 	assert.Equal(t, uint64(0x1ff), f.Cells.Cells[0].Flights[1].High)
@@ -50,51 +50,51 @@
 	assert.Nil(t, f.Cells)
 }
 
-// What is wrong is told with file, line, column and reason, and all of it.
-func TestMistakesAreToldWhereTheyAre(t *testing.T) {
+// All errors are reported, each with file, line, column and reason.
+func TestErrorsAreReportedWithPosition(t *testing.T) {
 	for _, mistake := range [][3]string{
 		{`guests   = 3`, `guests   = "many"`, "f.hcl:5:"},
 		{`carriers = ["x"]`, `cariers = ["x"]`, `f.hcl:6:5: Unsupported argument`},
 		{`["5c0f", `, `["5c0g", `, `f.hcl:7:16: cell "a": flight "5c0g"`},
 		{`share            = 0.5`, `share = 0.6`, `f.hcl:10:13: cell "b": the shares of all cells add up to 1.1, more than 1`},
-		{`connections      = 10`, `connections = 0`, `f.hcl:11:19: cell "b": want a figure above 0`},
+		{`connections      = 10`, `connections = 0`, `f.hcl:11:19: cell "b": must be greater than 0; omit it for no limit`},
 		{`overflow_to      = "a"`, `overflow_to = "c"`, `f.hcl:13:19: cell "b": unknown cell "c"`},
 		{`default = "a"`, `default = "z"`, `f.hcl:2:13: unknown cell "z"`},
-		{`"10m"`, `"soon"`, `f.hcl:19:13: move "x": want a span`},
+		{`"10m"`, `"soon"`, `f.hcl:19:13: move "x": must be a duration such as`},
 		{`"2026-12-01T15:05:00Z"`, `"2026-12-01T14:05:00Z"`, `f.hcl:20:13: move "x": must be later than start`},
 		{`cell "b" {`, `cell "a" {`, `f.hcl:9:3: cell "a": duplicate cell name`},
 		{`move "x" {`, `move {`, `f.hcl:15:8: `},
 		{"}\n}\n", "}\n", "f.hcl:"},
 	} {
-		text := strings.Replace(good, mistake[0], mistake[1], 1)
-		require.NotEqual(t, good, text)
+		text := strings.Replace(validFile, mistake[0], mistake[1], 1)
+		require.NotEqual(t, validFile, text)
 		_, err := Parse([]byte(text), "f.hcl")
 		var all ErrorList
 		require.ErrorAs(t, err, &all, mistake[1])
 		assert.True(t, strings.HasPrefix(all[0], mistake[2]), "%s: %s", mistake[1], all[0])
 	}
-	_, err := Parse([]byte(strings.NewReplacer(`"10m"`, `"soon"`, `0.5`, `0.9`, `["x"]`, `["x", "x"]`).Replace(good)), "f.hcl")
+	_, err := Parse([]byte(strings.NewReplacer(`"10m"`, `"soon"`, `0.5`, `0.9`, `["x"]`, `["x", "x"]`).Replace(validFile)), "f.hcl")
 	var all ErrorList
 	require.ErrorAs(t, err, &all)
 	assert.Len(t, all, 3)
 	assert.ErrorContains(t, err, "2 more")
 }
 
-func TestTheExampleIsGood(t *testing.T) {
+func TestLoadExample(t *testing.T) {
 	f, err := Load("../../deploy/operator.hcl")
 	require.NoError(t, err)
 	assert.Equal(t, 3, f.Cells.CellCount())
 	_, err = Load(filepath.Join(t.TempDir(), "none.hcl"))
 	assert.ErrorContains(t, err, "no such file")
 	large := filepath.Join(t.TempDir(), "large.hcl")
-	require.NoError(t, os.WriteFile(large, make([]byte, mostBytes+1), 0o600))
+	require.NoError(t, os.WriteFile(large, make([]byte, maxFileBytes+1), 0o600))
 	_, err = Load(large)
 	assert.ErrorContains(t, err, "at most")
 }
 
-// Whatever the text, a file is refused with a place or is a plan that has nothing wrong in it.
+// Any text either is rejected with a position or gives a plan without errors.
 func FuzzParse(f *testing.F) {
-	f.Add([]byte(good))
+	f.Add([]byte(validFile))
 	f.Add([]byte(`cells { default = "a"` + "\n" + `cell "a" { numbers = [1, 2] } }`))
 	f.Add([]byte("cells {\n default = null\n}"))
 	f.Fuzz(func(t *testing.T, text []byte) {
@@ -129,8 +129,8 @@
 	for text, want := range map[string]string{
 		"placement {\n plan = \"bad.json\"\n}":                 "o.hcl:2:9: bad.json: 2:2: a plan of version 7",
 		"placement {\n plan = \"none.json\"\n}":                "o.hcl:2:9: none.json: open",
-		"placement {\n record_every = \"1ms\"\n}":              "o.hcl:2:17: want a span",
-		"placement {\n\n record_largest_mb = 0\n}":             "o.hcl:3:22: want a figure",
+		"placement {\n record_every = \"1ms\"\n}":              "o.hcl:2:17: must be a duration from 100ms to 1h",
+		"placement {\n\n record_largest_mb = 0\n}":             "o.hcl:3:22: must be between 1 and",
 		"placement {\n record_every = \"often\"\n plan = 3\n}": "o.hcl:2:",
 	} {
 		_, err := parse(text)
@@ -138,8 +138,8 @@
 	}
 }
 
-// Zone shares are off without a failover block; with one, what is left out is the default, and what makes no sense is
-// told with its line.
+// Without a failover block, zone shares are off. With one, omitted attributes have their defaults, and invalid ones are
+// reported with their position.
 func TestFailover(t *testing.T) {
 	file, err := Parse([]byte("failover {\n  swing = 0.1\n  span  = \"5s\"\n}\n"), "f.hcl")
 	require.NoError(t, err)
@@ -149,9 +149,9 @@
 	file, err = Parse([]byte("placement {}\n"), "f.hcl")
 	require.NoError(t, err)
 	assert.Nil(t, file.Failover)
-	for text, at := range map[string]string{"swing = 0": "2:11: want a figure from 0.01 to 1",
-		`span = "soon"`: "2:10: want a span", "\n  enter = 0.3\n  leave = 0.5": "4:11: want less than enter (0.3)",
-		"least = 0": "2:11: want a figure from 1", "cold_from = 2": "2:15: want a figure from 0 to 1"} {
+	for text, at := range map[string]string{"swing = 0": "2:11: must be between 0.01 and 1",
+		`span = "soon"`: "2:10: must be a duration from 100ms to 10m", "\n  enter = 0.3\n  leave = 0.5": "4:11: must be less than enter (0.3)",
+		"least = 0": "2:11: must be between 1 and 1000", "cold_from = 2": "2:15: must be between 0 and 1"} {
 		_, err := Parse([]byte("failover {\n  "+text+"\n}\n"), "f.hcl")
 		var all ErrorList
 		require.ErrorAs(t, err, &all, text)
@@ -159,22 +159,22 @@
 	}
 }
 
-// A file of no bytes is what a write leaves that was cut short at its start: it does not turn all off.
-func TestAnEmptyFileIsRefused(t *testing.T) {
+// A file of 0 bytes, as left by a write that failed at its start, is rejected instead of turning everything off.
+func TestEmptyFileIsRejected(t *testing.T) {
 	path := filepath.Join(t.TempDir(), "operator.hcl")
 	require.NoError(t, os.WriteFile(path, nil, 0o600))
 	_, err := Load(path)
-	require.ErrorIs(t, err, errCutShort)
+	require.ErrorIs(t, err, errEmptyFile)
 	require.NoError(t, os.WriteFile(path, []byte("# nothing\n"), 0o600))
 	f, err := Load(path)
 	require.NoError(t, err)
 	assert.Nil(t, f.Cells)
 	_, err = Load(os.DevNull)
-	require.NoError(t, err, "no file at all, as who gives this name means")
+	require.NoError(t, err, "the null device stands for no file")
 }
 
-// A plan that is cut short anywhere is refused, and the operator's file with it.
-func TestAPlanThatIsCutShortIsRefused(t *testing.T) {
+// An operator's file whose plan is truncated at any point is rejected.
+func TestTruncatedPlanIsRejected(t *testing.T) {
 	const plan = `{"version":1,"born":"2026-12-01T00:00:00Z","holds":"1h","fades":"1h","rooms":{"a":{"s-0":1}},` +
 		`"hosts":[{"id":"s-0","room":"a","kind":"m","serves":9}],"demand":{"a":3}}`
 	folder := t.TempDir()
--- a/internal/operator/placement.go
+++ b/internal/operator/placement.go
@@ -9,56 +9,60 @@
 	"tealtiller/internal/placement"
 )
 
-// mostPlan bounds a plan file: 1,000 endpoints in two rooms and 20,000 flights take 1.5 MB.
-const mostPlan = 8 << 20
+// maxPlanBytes bounds the size of a plan file; a plan of 1,000 hosts in two rooms and 20,000 flights takes 1.5 MB.
+const maxPlanBytes = 8 << 20
 
-// What holds where the file tells nothing of records: one each usualEvery, in a file of usualLargest MB at most.
-const usualEvery, usualLargest = 5 * time.Second, 64
+// Defaults of the record attributes.
+const (
+	defaultRecordInterval = 5 * time.Second
+	defaultRecordMB       = 64
+)
 
-// Bounds of what the file tells of records.
+// Bounds of the record attributes.
 const (
-	leastEvery, mostEvery = 100 * time.Millisecond, time.Hour
-	mostLargest           = 1 << 20 // MB
+	minRecordInterval, maxRecordInterval = 100 * time.Millisecond, time.Hour
+	maxRecordMB                          = 1 << 20
 )
 
-// placement reads where the plan is, what it says, and where records are written.
-func (r *reader) placement(b *placementBlock, folder string, out *Placement) {
-	*out = Placement{RecordPath: within(folder, b.Record), RecordInterval: usualEvery, MaxRecordBytes: usualLargest << 20}
-	if b.Every != "" {
-		out.RecordInterval = r.span("record_every", b.Every, leastEvery, mostEvery, "100ms to 1h")
+// readPlacement converts the placement block and loads the plan that it names; relative paths are relative to folder.
+func (r *reader) readPlacement(b *placementBlock, folder string, out *Placement) {
+	*out = Placement{RecordPath: resolvePath(folder, b.Record), RecordInterval: defaultRecordInterval,
+		MaxRecordBytes: defaultRecordMB << 20}
+	if b.RecordEvery != "" {
+		out.RecordInterval = r.parseDuration("record_every", b.RecordEvery, minRecordInterval, maxRecordInterval, "100ms to 1h")
 	}
-	if b.LargestMB != nil {
-		if out.MaxRecordBytes = int64(*b.LargestMB) << 20; *b.LargestMB < 1 || *b.LargestMB > mostLargest {
-			r.fail("", "", "record_largest_mb", "want a figure from 1 on")
+	if b.RecordLargestMB != nil {
+		if out.MaxRecordBytes = int64(*b.RecordLargestMB) << 20; *b.RecordLargestMB < 1 || *b.RecordLargestMB > maxRecordMB {
+			r.addError("", "", "record_largest_mb", "must be between 1 and %d", maxRecordMB)
 		}
 	}
 	if b.Plan == "" {
 		return
 	}
-	out.PlanPath = within(folder, b.Plan)
+	out.PlanPath = resolvePath(folder, b.Plan)
 	var err error
 	if out.Plan, err = readPlan(out.PlanPath); err != nil {
-		r.fail("", "", "plan", "%s: %v", b.Plan, err)
+		r.addError("", "", "plan", "%s: %v", b.Plan, err)
 	}
 }
 
-// within is a path that is told from a folder; an empty one stays empty.
-func within(folder, path string) string {
+// resolvePath resolves a path relative to a folder; an empty path stays empty.
+func resolvePath(folder, path string) string {
 	if path == "" || filepath.IsAbs(path) {
 		return path
 	}
 	return filepath.Join(folder, path)
 }
 
-// readPlan reads a plan file. A plan that makes no sense is refused with the operator's file, or a balancer would go on
-// without what its operator thinks is in force.
+// readPlan reads a plan file. An invalid plan is an error in the operator's file, so that a balancer does not run
+// without a plan that its operator believes to be active.
 func readPlan(path string) (*placement.Plan, error) {
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, err
 	}
-	if len(text) > mostPlan {
-		return nil, fmt.Errorf("it holds %d bytes; at most %d", len(text), mostPlan)
+	if len(text) > maxPlanBytes {
+		return nil, fmt.Errorf("file is too large: %d bytes; at most %d", len(text), maxPlanBytes)
 	}
 	return placement.ParsePlan(text)
 }
--- a/internal/operator/reader.go
+++ b/internal/operator/reader.go
@@ -10,60 +10,61 @@
 	"github.com/hashicorp/hcl/v2/hclsyntax"
 )
 
-// reader collects errors and the places of blocks and attributes.
+// reader collects the errors of a file. ranges has the positions of the blocks and attributes in the current block.
 type reader struct {
-	errors []fault
-	places map[place][]hcl.Range
+	problems []problem
+	ranges   map[location][]hcl.Range
 }
 
-// fault is one error and where it is.
-type fault struct {
-	at   hcl.Range
-	text string
+// problem is one error and its position.
+type problem struct {
+	position hcl.Range
+	text     string
 }
 
-// place is where something is wrong: a block, by its kind and label, and an attribute in it; empty for the block itself.
-type place struct{ block, label, attribute string }
+// location identifies an attribute by the type and label of its block, or the block itself if attribute is empty.
+type location struct{ block, label, attribute string }
 
-// diagnose takes the errors that the HCL parser found.
-func (r *reader) diagnose(diags hcl.Diagnostics) {
+// addDiagnostics adds the errors found by the HCL parser.
+func (r *reader) addDiagnostics(diags hcl.Diagnostics) {
 	for _, d := range diags {
 		if d.Severity != hcl.DiagError {
 			continue
 		}
-		f := fault{text: d.Summary + ": " + d.Detail}
+		p := problem{text: d.Summary + ": " + d.Detail}
 		if d.Subject != nil {
-			f.at = *d.Subject
+			p.position = *d.Subject
 		}
-		r.errors = append(r.errors, f)
+		r.problems = append(r.problems, p)
 	}
 }
 
-// error is all that was found, in the order of the file; nil where nothing was.
-func (r *reader) error(name string) error {
-	if len(r.errors) == 0 {
+// err returns all errors as an ErrorList in the order of their positions, or nil if there are none.
+func (r *reader) err(name string) error {
+	if len(r.problems) == 0 {
 		return nil
 	}
-	slices.SortStableFunc(r.errors, func(a, b fault) int {
-		return cmp.Or(cmp.Compare(a.at.Start.Line, b.at.Start.Line), cmp.Compare(a.at.Start.Column, b.at.Start.Column))
+	slices.SortStableFunc(r.problems, func(a, b problem) int {
+		return cmp.Or(cmp.Compare(a.position.Start.Line, b.position.Start.Line), cmp.Compare(a.position.Start.Column, b.position.Start.Column))
 	})
-	var out ErrorList
-	for _, f := range r.errors {
-		out = append(out, fmt.Sprintf("%s:%d:%d: %s", name, f.at.Start.Line, f.at.Start.Column, f.text))
+	var list ErrorList
+	for _, p := range r.problems {
+		list = append(list, fmt.Sprintf("%s:%d:%d: %s", name, p.position.Start.Line, p.position.Start.Column, p.text))
 	}
-	return out
+	return list
 }
 
-// index finds the places of the blocks within a block, and of their attributes.
-func index(body *hclsyntax.Body, block string) map[place][]hcl.Range {
-	out := map[place][]hcl.Range{}
+// indexRanges returns the positions of a block, of the blocks in it and of their attributes. Blocks of the same type
+// and label share a location.
+func indexRanges(body *hclsyntax.Body, block string) map[location][]hcl.Range {
+	ranges := map[location][]hcl.Range{}
 	if body == nil {
-		return out
+		return ranges
 	}
 	add := func(block, label string, b *hclsyntax.Block) {
-		out[place{block, label, ""}] = append(out[place{block, label, ""}], b.DefRange())
+		ranges[location{block, label, ""}] = append(ranges[location{block, label, ""}], b.DefRange())
 		for name, a := range b.Body.Attributes {
-			out[place{block, label, name}] = append(out[place{block, label, name}], a.Expr.Range())
+			ranges[location{block, label, name}] = append(ranges[location{block, label, name}], a.Expr.Range())
 		}
 	}
 	for _, b := range body.Blocks {
@@ -77,29 +78,30 @@
 			}
 		}
 	}
-	return out
+	return ranges
 }
 
-// fail notes what is wrong at a place. Of blocks with one label it is the last one that is at fault.
-func (r *reader) fail(block, label, attribute, format string, args ...any) {
+// addError adds an error at a location, or at the enclosing block if the location has no position. Of several blocks
+// with the same label, the last one gets the error.
+func (r *reader) addError(block, label, attribute, format string, args ...any) {
 	text := fmt.Sprintf(format, args...)
 	if label != "" {
 		text = fmt.Sprintf("%s %q: %s", block, label, text)
 	}
-	for _, p := range []place{{block, label, attribute}, {block, label, ""}, {}} {
-		if at := r.places[p]; len(at) > 0 {
-			r.errors = append(r.errors, fault{at[len(at)-1], text})
+	for _, l := range []location{{block, label, attribute}, {block, label, ""}, {}} {
+		if ranges := r.ranges[l]; len(ranges) > 0 {
+			r.problems = append(r.problems, problem{ranges[len(ranges)-1], text})
 			return
 		}
 	}
-	r.errors = append(r.errors, fault{text: text})
+	r.problems = append(r.problems, problem{text: text})
 }
 
-// span reads a span of time within bounds; want is what an error says of them.
-func (r *reader) span(attribute, text string, least, most time.Duration, want string) time.Duration {
+// parseDuration parses a duration from low to high; bounds is how the error message names that range.
+func (r *reader) parseDuration(attribute, text string, low, high time.Duration, bounds string) time.Duration {
 	d, err := time.ParseDuration(text)
-	if err != nil || d < least || d > most {
-		r.fail("", "", attribute, "want a span of %s", want)
+	if err != nil || d < low || d > high {
+		r.addError("", "", attribute, "must be a duration from %s", bounds)
 	}
 	return d
 }
