--- a/internal/failover/failover.go
+++ b/internal/failover/failover.go
@@ -1,6 +1,5 @@
 // Package failover decides, for each zone of desk hosts, what share of its own traffic it takes now. Like etcd's raft
-// package, it does no I/O, reads no clock and starts no goroutine: callers pass in events with their time and query
-// states.
+// package, it does no I/O, reads no clock and starts no goroutine: callers pass in events with their time.
 //
 // The primary input is the host list, with each host's zone, phase and start, as all balancers see the same one: a zone
 // whose hosts are gone, draining or cold has a lower target share at every balancer at once. The secondary input is the
@@ -26,7 +25,7 @@
 	MaxChangePerSecond float64       // largest change of a zone's share per second
 }
 
-// DefaultSettings has the slowest warm-up and the cold capacity of both sites, and lets a share change by a quarter per
+// DefaultSettings has the warm-up and cold capacity of both sites at their slowest, and moves a share by 1/4 per
 // second.
 var DefaultSettings = Settings{WarmUp: 8500 * time.Millisecond, ColdCapacity: 0.39, DecayTime: 3 * time.Second,
 	MinOutcomes: 4, ShunThreshold: 0.6, RecoverThreshold: 0.3, MaxChangePerSecond: 0.25}
@@ -41,7 +40,6 @@
 // State is how this balancer uses a zone.
 type State int
 
-// The states of a zone.
 const (
 	Near      State = iota // takes all of its own traffic
 	Shared                 // takes a part; the rest goes to the nearest zone with capacity
@@ -49,10 +47,8 @@
 	Returning              // recovering: its share is increasing
 )
 
-// String returns the state's name as the log has it.
 func (s State) String() string { return [...]string{"near", "shared", "shunned", "returning"}[s] }
 
-// zoneState is what is known of one zone.
 type zoneState struct {
 	startTimes          []time.Duration // of the hosts in service
 	listedHosts         int
@@ -62,9 +58,7 @@
 	share               float64 // as of shareAt
 	shareAt             time.Duration
 	target              float64
-	// needsInitialShare is set until the first target is known. The share then starts at the target, so that a zone
-	// that is cold when first listed does not get all of its traffic at once.
-	needsInitialShare bool
+	needsInitialShare   bool // a new zone's share starts at its first target, as a cold zone must not get all at once
 }
 
 // Zones tracks the shares of all zones.
@@ -105,8 +99,7 @@
 	z.updateTargets(now)
 }
 
-// RecordOutcome records the outcome of an attempt of this balancer at a host of a zone; ok means that the host accepted
-// the connection or answered in time.
+// RecordOutcome records how an attempt at a host of a zone ended; ok: the connection came up or was answered in time.
 func (z *Zones) RecordOutcome(now time.Duration, name string, ok bool) {
 	z.advanceShares(now)
 	zone := z.stateOf(name, now)
@@ -147,8 +140,7 @@
 	}
 }
 
-// InTransition reports whether the share of any zone has not reached its target, so that states may change without an
-// event.
+// InTransition reports whether any share has not reached its target, so that states may change without an event.
 func (z *Zones) InTransition(now time.Duration) bool {
 	z.update(now)
 	for _, zone := range z.zones {
@@ -176,7 +168,6 @@
 	return best
 }
 
-// decay reduces the weight of the observed outcomes by the time since the last call.
 func (s *zoneState) decay(now, decayTime time.Duration) {
 	if now > s.decayedAt && decayTime > 0 {
 		factor := math.Exp(-float64(now-s.decayedAt) / float64(decayTime))
@@ -192,9 +183,8 @@
 	return s.failures / (s.successes + s.failures)
 }
 
-// updateShunned applies the thresholds with hysteresis. Outcomes whose weight has decayed below MinOutcomes are
-// ignored. A shunned zone gets no traffic and so has no new outcomes; it is tried again, with an increasing share, once
-// its outcomes have decayed.
+// updateShunned applies the thresholds. Outcomes of a weight below MinOutcomes are ignored, so a shunned zone, which
+// gets no traffic and no new outcomes, is tried again, with a growing share, once its outcomes have decayed.
 func (z *Zones) updateShunned(zone *zoneState) {
 	enoughOutcomes := zone.successes+zone.failures >= z.settings.MinOutcomes
 	switch rate := zone.failureRate(); {
@@ -213,8 +203,7 @@
 	}
 }
 
-// updateTargets sets the target of each zone: the available capacity of its hosts in service divided by the number of
-// its listed hosts, or 0 while the zone is shunned.
+// updateTargets sets each target: the available capacity of the hosts in service per listed host, or 0 while shunned.
 func (z *Zones) updateTargets(now time.Duration) {
 	z.updatedAt = now
 	for _, name := range z.names {
@@ -238,8 +227,7 @@
 	}
 }
 
-// availableCapacity returns the share of its capacity that a host has now: it grows linearly from ColdCapacity at its
-// start to 1 after WarmUp.
+// availableCapacity returns a host's share of its full capacity, which grows linearly from ColdCapacity in WarmUp.
 func (z *Zones) availableCapacity(now, startTime time.Duration) float64 {
 	if startTime <= 0 || z.settings.WarmUp <= 0 || now-startTime >= z.settings.WarmUp {
 		return 1
@@ -247,8 +235,7 @@
 	return z.settings.ColdCapacity + (1-z.settings.ColdCapacity)*float64(max(now-startTime, 0))/float64(z.settings.WarmUp)
 }
 
-// advanceShares moves each share towards the target that has been in effect since the last event, by at most
-// MaxChangePerSecond.
+// advanceShares moves each share towards its target as of the last event, by at most MaxChangePerSecond.
 func (z *Zones) advanceShares(now time.Duration) {
 	for _, name := range z.names {
 		zone := z.zones[name]
