--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -1,5 +1,5 @@
-// Package wire is the JSON codec between the simulator's wire and the events and actions of package
-// policy.
+// Package wire is the JSON codec between the simulator's line protocol and the events and actions of package policy,
+// and the adapter that runs policy instances on it.
 package wire
 
 import (
@@ -14,179 +14,184 @@
 	"tealtiller/policy"
 )
 
-// Kind is the kind of a line.
+// Kind is the kind of an input line.
 type Kind int
 
-// The kinds of lines; Skip is an event that nothing here needs or knows.
+// The kinds of input lines; Ignored is an event that is unknown or not needed here.
 const (
-	Skip Kind = iota
-	Begin
-	Commit
-	List
-	Start
-	Stop
+	Ignored Kind = iota
+	BatchBegin
+	BatchCommit
+	ServerList
+	InstanceStart
+	InstanceStop
 	Members
 	Request
-	Open
-	First
+	Inherited
+	Established
 	Outcome
-	Note
-	Gone
-	Wake
-	Memo
+	ConnectionMetric
+	ClientGone
+	TimerFired
+	SiblingMessage
 )
 
-var kinds = map[string]Kind{
-	"beginBatch": Begin, "commit": Commit, "list": List, "powerOn": Start, "shutdown": Stop,
-	"discovery": Members, "order": Request, "alreadyOpen": Open, "underWay": First, "done": Outcome,
-	"note": Note, "lapsed": Gone, "bell": Wake, "memo": Memo,
+// eventKinds maps the event names of the wire to kinds.
+var eventKinds = map[string]Kind{
+	"beginBatch": BatchBegin, "commit": BatchCommit, "list": ServerList, "powerOn": InstanceStart, "shutdown": InstanceStop,
+	"discovery": Members, "order": Request, "alreadyOpen": Inherited, "underWay": Established, "done": Outcome,
+	"note": ConnectionMetric, "lapsed": ClientGone, "bell": TimerFired, "memo": SiblingMessage,
 }
 
-var results = map[string]policy.Result{
+// attemptResults maps the dispositions of the wire to results of attempts.
+var attemptResults = map[string]policy.Result{
 	"done": policy.OK, "err": policy.Error, "busy": policy.Rejected, "etimedout": policy.Timeout,
 	"econnrefused": policy.ConnectFailed, "econnreset": policy.Reset, "ecanceled": policy.Cancelled,
 	"skipped": policy.NotSent,
 }
 
-// Bits of `bits`: packets of an established connection, a client that is back after a break or a move.
+// Bits of the field `bits`: packets of an established connection (mid-flow), and a client that reconnects after its
+// connection broke or was moved.
 const (
-	midFlowBit  = 8
-	returnedBit = 16
+	midFlowBit      = 8
+	reconnectingBit = 16
 )
 
-// Event is one decoded line. Which fields are set depends on Kind. It is valid until the next line is
-// decoded.
+// Event is one decoded line. Which fields are set depends on Kind. It is valid until the next line is decoded.
 type Event struct {
-	Kind     Kind
-	Time     time.Duration // Begin
-	Turn     int64         // Begin
-	Instance int
-	Request  policy.Request // Request, Open; others set its ID alone
-	Server   string
-	Result   policy.Result
-	Over     bool
-	Timer    int64 // Wake
-	Note     policy.MetricKind
-	Level    float64
-	Peer     uint32        // Memo: the hash of the server that it tells of
-	Delay    time.Duration // Memo
-	Form     policy.MembersKind
-	Slot     int
-	Entries  []policy.Server
-	Seed     uint64
-	Settings policy.Settings
+	Kind        Kind
+	Time        time.Duration // Begin
+	Turn        int64         // Begin
+	Instance    int
+	Request     policy.Request // Request and Inherited; other kinds set only its ID
+	Server      string
+	Result      policy.Result
+	RequestOver bool
+	Timer       int64 // TimerFired
+	MetricKind  policy.MetricKind
+	MetricValue float64
+	ServerHash  uint32        // SiblingMessage: hash of the server that it is about
+	Delay       time.Duration // SiblingMessage: message delay at that server
+	MembersKind policy.MembersKind
+	ListSlot    int
+	Servers     []policy.Server
+	Seed        uint64
+	Settings    policy.Settings
 }
 
-// Decoder turns lines into events, reusing one Event and the names that it has seen.
+// Decoder turns lines into events. It reuses one Event, and keeps the names that it has seen.
 type Decoder struct {
-	event   Event
-	names   map[string]string
-	grouped bool // the event told a group, which is the key then
+	event    Event
+	names    map[string]string
+	hasGroup bool // the event has a group, which then is the key instead of the object
 }
 
-// NewDecoder makes a decoder.
+// NewDecoder returns a decoder that has seen no names yet.
 func NewDecoder() *Decoder { return &Decoder{names: map[string]string{}} }
 
-// Line decodes one line; unknown fields and unknown events are skipped, anything malformed is an error.
-func (d *Decoder) Line(line []byte) (*Event, error) {
-	l := &jlexer.Lexer{Data: line}
-	d.event = Event{Entries: d.event.Entries[:0]}
-	d.grouped = false
+// DecodeLine decodes one line. Unknown fields and unknown events are skipped; malformed input is an error.
+func (d *Decoder) DecodeLine(line []byte) (*Event, error) {
+	lexer := &jlexer.Lexer{Data: line}
+	d.event = Event{Servers: d.event.Servers[:0]}
+	d.hasGroup = false
 	count := 0
-	settings.ForEachField(l, func(name string) {
+	settings.ForEachField(lexer, func(name string) {
 		count++
-		kind := kinds[name]
+		kind := eventKinds[name]
 		d.event.Kind = kind
-		if kind == Skip || kind == Commit {
-			l.SkipRecursive()
+		if kind == Ignored || kind == BatchCommit {
+			lexer.SkipRecursive()
 			return
 		}
-		settings.ForEachField(l, func(field string) { d.field(l, field) })
+		settings.ForEachField(lexer, func(field string) { d.decodeField(lexer, field) })
 	})
-	l.Consumed()
-	if err := l.Error(); err != nil {
-		return nil, fmt.Errorf("malformed line: %v", err) // not wrapped: its EOF is not ours
+	lexer.Consumed()
+	if err := lexer.Error(); err != nil {
+		// Not wrapped: an io.EOF from the lexer must not be mistaken for the end of the input.
+		return nil, fmt.Errorf("malformed line: %v", err)
 	}
 	if count != 1 {
-		return nil, errors.New("malformed line: want an object with one key")
+		return nil, errors.New("malformed line: expected an object with exactly one key")
 	}
 	return &d.event, nil
 }
 
-func (d *Decoder) field(l *jlexer.Lexer, field string) {
+func (d *Decoder) decodeField(lexer *jlexer.Lexer, field string) {
 	e := &d.event
 	switch field {
 	case "balancer":
-		e.Instance = l.Int()
+		e.Instance = lexer.Int()
 	case "wall":
-		e.Time = time.Duration(l.Int64())
+		e.Time = time.Duration(lexer.Int64())
 	case "turn":
-		e.Turn = l.Int64()
+		e.Turn = lexer.Int64()
 	case "requestId":
-		e.Request.ID = l.String()
+		e.Request.ID = lexer.String()
 	case "band":
-		e.Request.Class = d.name(l)
+		e.Request.Class = d.intern(lexer)
 	case "ttl":
-		e.Request.TTL = time.Duration(l.Int64())
+		e.Request.TTL = time.Duration(lexer.Int64())
 	case "object":
-		if key := l.Uint64(); !d.grouped {
+		if key := lexer.Uint64(); !d.hasGroup {
 			e.Request.Key, e.Request.HasKey = key, true
 		}
 	case "group":
-		e.Request.Key, e.Request.HasKey, d.grouped = l.Uint64(), true, true
+		e.Request.Key, e.Request.HasKey, d.hasGroup = lexer.Uint64(), true, true
 	case "bits":
-		bits := l.Int64()
-		e.Request.MidFlow, e.Request.Reconnecting = bits&midFlowBit != 0, bits&returnedBit != 0
+		bits := lexer.Int64()
+		e.Request.MidFlow, e.Request.Reconnecting = bits&midFlowBit != 0, bits&reconnectingBit != 0
 	case "server":
-		e.Server = d.name(l)
+		e.Server = d.intern(lexer)
 	case "disposition":
-		result, ok := results[l.UnsafeString()]
+		result, ok := attemptResults[lexer.UnsafeString()]
 		if !ok {
-			result = policy.Error // an unknown end proves nothing
+			result = policy.Error // an unknown disposition is counted as a plain error
 		}
 		e.Result = result
 	case "over":
-		e.Over = l.Bool()
+		e.RequestOver = lexer.Bool()
 	case "name":
-		e.Timer = l.Int64()
+		e.Timer = lexer.Int64()
 	case "sort":
-		e.Note = policy.MetricKind(l.Int())
+		e.MetricKind = policy.MetricKind(lexer.Int())
 	case "level":
-		e.Level = l.Float64()
+		e.MetricValue = lexer.Float64()
 	case "contents":
-		d.memo(l.Bytes())
+		d.decodeSiblingMessage(lexer.Bytes())
 	case "form":
-		e.Form = policy.MembersKind(l.Int())
+		e.MembersKind = policy.MembersKind(lexer.Int())
 	case "slot":
-		e.Slot = l.Int()
+		e.ListSlot = lexer.Int()
 	case "entries":
-		settings.ForEachElement(l, func() { e.Entries = append(e.Entries, d.entry(l)) })
+		settings.ForEachElement(lexer, func() { e.Servers = append(e.Servers, d.decodeServer(lexer)) })
 	case "prng":
-		e.Seed = l.Uint64()
+		e.Seed = lexer.Uint64()
 	case "bootInfo":
-		set, err := settings.Decode(l.Raw())
+		set, err := settings.Decode(lexer.Raw())
 		if err != nil {
-			l.AddError(err)
+			lexer.AddError(err)
 		}
 		e.Settings = set.Policy
 	default:
-		l.SkipRecursive()
+		lexer.SkipRecursive()
 	}
 }
 
-// memo reads what Encoder.Tell wrote; a message of another length is of another version and skipped.
-func (d *Decoder) memo(message []byte) {
+// decodeSiblingMessage reads what Encoder.NotifySiblings wrote. A message of another length comes from another version
+// and is ignored.
+func (d *Decoder) decodeSiblingMessage(message []byte) {
 	if len(message) != 6 {
-		d.event.Kind = Skip
+		d.event.Kind = Ignored
 		return
 	}
-	d.event.Peer = binary.BigEndian.Uint32(message)
+	d.event.ServerHash = binary.BigEndian.Uint32(message)
 	d.event.Delay = time.Duration(binary.BigEndian.Uint16(message[4:])) * time.Millisecond
 }
 
-// name interns a server's, zone's or class's name: there are few of them and every event bears some.
-func (d *Decoder) name(l *jlexer.Lexer) string {
-	text := l.UnsafeString()
+// intern returns one shared string per name of a server, zone or class: there are few of them, and every event carries
+// some.
+func (d *Decoder) intern(lexer *jlexer.Lexer) string {
+	text := lexer.UnsafeString()
 	if known, ok := d.names[text]; ok {
 		return known
 	}
@@ -195,26 +200,26 @@
 	return known
 }
 
-func (d *Decoder) entry(l *jlexer.Lexer) policy.Server {
+func (d *Decoder) decodeServer(lexer *jlexer.Lexer) policy.Server {
 	var s policy.Server
-	settings.ForEachField(l, func(field string) {
+	settings.ForEachField(lexer, func(field string) {
 		switch field {
 		case "server":
-			s.ID = d.name(l)
+			s.ID = d.intern(lexer)
 		case "area":
-			s.Zone = d.name(l)
+			s.Zone = d.intern(lexer)
 		case "machine":
-			s.Kind = d.name(l)
+			s.Kind = d.intern(lexer)
 		case "group":
-			s.Cell = l.Int()
+			s.Cell = lexer.Int()
 		case "state":
-			s.State = policy.State(l.Int())
+			s.State = policy.State(lexer.Int())
 		case "units":
-			s.Weight = l.Float64()
+			s.Weight = lexer.Float64()
 		case "startTime":
-			s.Started = time.Duration(l.Int64())
+			s.Started = time.Duration(lexer.Int64())
 		default:
-			l.SkipRecursive()
+			lexer.SkipRecursive()
 		}
 	})
 	return s
--- a/internal/wire/encode.go
+++ b/internal/wire/encode.go
@@ -11,17 +11,18 @@
 	"tealtiller/policy"
 )
 
-// Encoder appends actions to a reply. Names of requests and servers go back as they came.
+// Encoder appends actions to the reply to a batch. It implements policy.Host. Ids of requests and servers are written
+// as they were received.
 type Encoder struct {
 	buf      []byte
 	instance int
 }
 
-// For makes the actions that follow those of an instance.
-func (e *Encoder) For(instance int) { e.instance = instance }
+// SetInstance sets the balancer instance to which the following actions belong.
+func (e *Encoder) SetInstance(instance int) { e.instance = instance }
 
-// Done ends the reply to a batch and returns it; the bytes are valid until the next action.
-func (e *Encoder) Done(turn int64) []byte {
+// EndBatch ends the reply to a batch and returns it. The bytes are valid until the next action.
+func (e *Encoder) EndBatch(turn int64) []byte {
 	e.buf = append(e.buf, `{"done":{"turn":`...)
 	e.buf = strconv.AppendInt(e.buf, turn, 10)
 	e.buf = append(e.buf, "}}\n"...)
@@ -30,34 +31,34 @@
 	return out
 }
 
-func (e *Encoder) begin(action string) {
+func (e *Encoder) beginAction(action string) {
 	e.buf = append(e.buf, `{"`...)
 	e.buf = append(e.buf, action...)
 	e.buf = append(e.buf, `":{"balancer":`...)
 	e.buf = strconv.AppendInt(e.buf, int64(e.instance), 10)
 }
 
-func (e *Encoder) end() { e.buf = append(e.buf, "}}\n"...) }
+func (e *Encoder) endAction() { e.buf = append(e.buf, "}}\n"...) }
 
-func (e *Encoder) text(field, value string) {
+func (e *Encoder) stringField(field, value string) {
 	e.buf = append(e.buf, `,"`...)
 	e.buf = append(e.buf, field...)
 	e.buf = append(e.buf, `":`...)
 	e.buf = appendQuoted(e.buf, value)
 }
 
-func (e *Encoder) number(field string, value int64) {
+func (e *Encoder) intField(field string, value int64) {
 	e.buf = append(e.buf, `,"`...)
 	e.buf = append(e.buf, field...)
 	e.buf = append(e.buf, `":`...)
 	e.buf = strconv.AppendInt(e.buf, value, 10)
 }
 
-// appendQuoted writes a JSON string; what is not plain ASCII goes the slow way.
+// appendQuoted appends a JSON string. Values that need escaping, or are not plain ASCII, go through encoding/json.
 func appendQuoted(buf []byte, value string) []byte {
 	for i := range len(value) {
 		if c := value[i]; c < 0x20 || c >= 0x7f || c == '"' || c == '\\' {
-			return append(buf, quoteSlow(value)...)
+			return append(buf, marshalString(value)...)
 		}
 	}
 	buf = append(buf, '"')
@@ -67,80 +68,81 @@
 
 // Send starts an attempt.
 func (e *Encoder) Send(request, server string, timeout time.Duration) {
-	e.begin("place")
-	e.text("requestId", request)
-	e.text("server", server)
-	e.number("allowFor", int64(timeout))
-	e.end()
+	e.beginAction("place")
+	e.stringField("requestId", request)
+	e.stringField("server", server)
+	e.intField("allowFor", int64(timeout))
+	e.endAction()
 }
 
-// Refuse is a final answer; the wire tells no reason.
+// Refuse is the final answer to a request that is turned away. The wire carries no reason.
 func (e *Encoder) Refuse(request string, retryAfter time.Duration, _ policy.Reason) {
-	e.begin("bounce")
-	e.text("requestId", request)
+	e.beginAction("bounce")
+	e.stringField("requestId", request)
 	if retryAfter > 0 {
-		e.number("retryAfter", int64(retryAfter))
+		e.intField("retryAfter", int64(retryAfter))
 	}
-	e.end()
+	e.endAction()
 }
 
-// Fail is a final answer.
-func (e *Encoder) Fail(request string) { e.named("fail", request) }
+// Fail is the final answer to a request that failed.
+func (e *Encoder) Fail(request string) { e.requestAction("fail", request) }
 
-// Move ends an open connection politely.
-func (e *Encoder) Move(request string) { e.named("rebalance", request) }
+// Move ends an open connection gracefully, so that its client connects again.
+func (e *Encoder) Move(request string) { e.requestAction("rebalance", request) }
 
-func (e *Encoder) named(action, request string) {
-	e.begin(action)
-	e.text("requestId", request)
-	e.end()
+func (e *Encoder) requestAction(action, request string) {
+	e.beginAction(action)
+	e.stringField("requestId", request)
+	e.endAction()
 }
 
 // Wake sets a timer.
-func (e *Encoder) Wake(at time.Duration, name int64) {
-	e.begin("wakeAt")
-	e.number("time", int64(at))
-	e.number("name", name)
-	e.end()
+func (e *Encoder) Wake(at time.Duration, timer int64) {
+	e.beginAction("wakeAt")
+	e.intField("time", int64(at))
+	e.intField("name", timer)
+	e.endAction()
 }
 
-// Probe says nothing: on this wire load is told by notes on connections, and no settings from it allow asking.
+// Probe does nothing: on this wire, load is reported by metrics on connections, and none of its settings allow probes.
 func (e *Encoder) Probe(string) {}
 
-// NotifySiblings sends a message to all peers: the server's hash, and milliseconds in two bytes, as each is paid for.
+// NotifySiblings sends a message to all siblings. It holds the hash of the server and the delay as milliseconds in two
+// bytes; it is compact because what siblings send is charged for.
 func (e *Encoder) NotifySiblings(server uint32, delay time.Duration) {
 	message := binary.BigEndian.AppendUint32(nil, server)
 	message = binary.BigEndian.AppendUint16(message, uint16(min(delay.Milliseconds(), math.MaxUint16)))
-	e.begin("writePeer")
-	e.text("whom", "*")
-	e.text("contents", base64.StdEncoding.EncodeToString(message))
-	e.end()
+	e.beginAction("writePeer")
+	e.stringField("whom", "*")
+	e.stringField("contents", base64.StdEncoding.EncodeToString(message))
+	e.endAction()
 }
 
-// Watch subscribes to the list of servers, or ends that.
+// Watch subscribes to the list of servers, or ends the subscription.
 func (e *Encoder) Watch(on bool) {
-	e.begin("tail")
+	e.beginAction("tail")
 	e.buf = append(e.buf, `,"want":`...)
 	e.buf = strconv.AppendBool(e.buf, on)
-	e.end()
+	e.endAction()
 }
 
-// Log adds a line to the report.
+// Log adds a line to the simulator's report.
 func (e *Encoder) Log(text string) {
-	e.begin("sayLog")
-	e.text("text", text)
-	e.end()
+	e.beginAction("sayLog")
+	e.stringField("text", text)
+	e.endAction()
 }
 
-// Exception declares that the decisions failed.
+// Exception reports that the instance failed.
 func (e *Encoder) Exception(text string) {
 	e.buf = append(e.buf, `{"exception":{"text":`...)
 	e.buf = appendQuoted(e.buf, text)
-	e.end()
+	e.endAction()
 }
 
-// quoteSlow is the general JSON string; marshalling a string cannot fail.
-func quoteSlow(value string) []byte {
+// marshalString encodes any string as JSON; marshalling a string cannot fail.
+func marshalString(value string) []byte {
 	out, _ := json.Marshal(value)
 	return out
 }
--- a/internal/wire/wire_test.go
+++ b/internal/wire/wire_test.go
@@ -10,40 +10,40 @@
 	"tealtiller/policy"
 )
 
-const boot = `{"powerOn":{"balancer":%d,"prng":7,"bootInfo":{"siblings":2,"tick":5000000,"unknownKey":[1],` +
+const powerOnEvent = `{"powerOn":{"balancer":%d,"prng":7,"bootInfo":{"siblings":2,"tick":5000000,"unknownKey":[1],` +
 	`"allowed":{"tryLimit":4},"discovery":"subscribe","familyInfo":{"messageAim":[250000000]},` +
 	`"grades":[{"name":"sales","aim":500000000,"effect":"safe","dedupScope":"all"}],` +
 	`"invariants":{"askWithin":10000000000,"coldFrom":0.17,"warmAfter":24000000000,` +
 	`"stopSendingWithin":250000000,"overloadFactor":3.0,"fall":1500000000}}}}`
 
-const list = `{"list":{"slot":3,"entries":[{"server":"s-a","area":"z","machine":"m","group":0,"state":1,"units":1,` +
+const listEvent = `{"list":{"slot":3,"entries":[{"server":"s-a","area":"z","machine":"m","group":0,"state":1,"units":1,` +
 	`"startTime":null},{"server":"s-b","area":"z","machine":"m","group":1,"state":2,"units":1.5,"startTime":61}]}}`
 
-const order = `{"order":{"balancer":%d,"requestId":"id-%d","expected":null,"team":0,"band":"sales",` +
+const orderEvent = `{"order":{"balancer":%d,"requestId":"id-%d","expected":null,"team":0,"band":"sales",` +
 	`"group":%d,"ttl":2000000000,"object":4569004829183723,"bits":1}}`
 
-func batch(turn int, events ...string) string {
+func batchOf(turn int, events ...string) string {
 	return fmt.Sprintf("{\"beginBatch\":{\"wall\":%d,\"turn\":%d}}\n%s\n{\"commit\":{}}\n",
 		int64(turn)*1e9, turn, strings.Join(events, "\n"))
 }
 
-func run(t *testing.T, in string) (out, warn string, err error) {
+func runAdapter(t *testing.T, in string) (out, warn string, err error) {
 	t.Helper()
 	var o, w bytes.Buffer
 	err = NewAdapter(strings.NewReader(in), &o, &w).Run()
 	return o.String(), w.String(), err
 }
 
-func start(n int) []string {
-	return []string{fmt.Sprintf(boot, n), list, fmt.Sprintf(`{"discovery":{"balancer":%d,"form":2,"revision":1,"slot":3}}`, n)}
+func startEvents(n int) []string {
+	return []string{fmt.Sprintf(powerOnEvent, n), listEvent, fmt.Sprintf(`{"discovery":{"balancer":%d,"form":2,"revision":1,"slot":3}}`, n)}
 }
 
 func TestRoundTrip(t *testing.T) {
-	in := batch(1, append(start(0), fmt.Sprintf(order, 0, 1, 5))...) +
-		batch(2, `{"underWay":{"balancer":0,"requestId":"id-1","hop":0,"server":"s-a","timeTaken":5}}`,
+	in := batchOf(1, append(startEvents(0), fmt.Sprintf(orderEvent, 0, 1, 5))...) +
+		batchOf(2, `{"underWay":{"balancer":0,"requestId":"id-1","hop":0,"server":"s-a","timeTaken":5}}`,
 			`{"note":{"balancer":0,"requestId":"id-1","hop":0,"sort":2,"server":"s-a","level":317.8}}`,
 			`{"done":{"balancer":0,"requestId":"id-1","hop":0,"server":"s-a","disposition":"done","timeTaken":9,"over":true,"gauge":null}}`)
-	out, warn, err := run(t, in)
+	out, warn, err := runAdapter(t, in)
 	if err != nil || warn != "" {
 		t.Fatalf("error %v, warnings %q", err, warn)
 	}
@@ -60,7 +60,7 @@
 
 func TestDecodedFields(t *testing.T) {
 	d := NewDecoder()
-	e, err := d.Line([]byte(`{"order":{"balancer":3,"requestId":"x","band":"sales","group":null,"ttl":9,"object":77,"bits":9,"later":{"a":[1]}}}`))
+	e, err := d.DecodeLine([]byte(`{"order":{"balancer":3,"requestId":"x","band":"sales","group":null,"ttl":9,"object":77,"bits":9,"later":{"a":[1]}}}`))
 	if err != nil {
 		t.Fatal(err)
 	}
@@ -68,79 +68,79 @@
 	if e.Kind != Request || e.Instance != 3 || e.Request != want {
 		t.Errorf("decoded %+v", e)
 	}
-	if e, _ = d.Line([]byte(`{"order":{"balancer":3,"requestId":"y","group":0}}`)); !e.Request.HasKey || e.Request.Key != 0 {
-		t.Errorf("group 0 is a key: %+v", e.Request)
+	if e, _ = d.DecodeLine([]byte(`{"order":{"balancer":3,"requestId":"y","group":0}}`)); !e.Request.HasKey || e.Request.Key != 0 {
+		t.Errorf("group 0 was not taken as a key: %+v", e.Request)
 	}
-	if e, _ = d.Line([]byte(`{"order":{"balancer":3,"requestId":"z"}}`)); e.Request.HasKey {
-		t.Errorf("no key: %+v", e.Request)
+	if e, _ = d.DecodeLine([]byte(`{"order":{"balancer":3,"requestId":"z"}}`)); e.Request.HasKey {
+		t.Errorf("request without group and object has a key: %+v", e.Request)
 	}
-	if e, err = d.Line([]byte(`{"novelty":{"deep":{"a":[1,{"b":2}]}}}`)); err != nil || e.Kind != Skip {
+	if e, err = d.DecodeLine([]byte(`{"novelty":{"deep":{"a":[1,{"b":2}]}}}`)); err != nil || e.Kind != Ignored {
 		t.Errorf("unknown event: %+v, %v", e, err)
 	}
 }
 
-func TestTroubleIsToldPlainly(t *testing.T) {
-	for name, c := range map[string]struct{ in, want string }{
+func TestMalformedInputIsReported(t *testing.T) {
+	for name, test := range map[string]struct{ in, want string }{
 		"no JSON":       {"{\"beginBatch\":{\"wall\":1,\"turn\":1}}\nnonsense\n", "malformed"},
 		"cut line":      {"{\"beginBatch\":{\"wall\":1", "malformed"},
-		"two keys":      {batch(1, `{"a":{},"b":{}}`), "one key"},
+		"two keys":      {batchOf(1, `{"a":{},"b":{}}`), "one key"},
 		"outside":       {`{"bell":{"balancer":0,"name":1}}` + "\n", "outside a batch"},
 		"nested":        {"{\"beginBatch\":{\"wall\":1,\"turn\":1}}\n{\"beginBatch\":{\"wall\":1,\"turn\":2}}\n", "inside a batch"},
 		"ended inside":  {"{\"beginBatch\":{\"wall\":1,\"turn\":1}}\n", "ended inside"},
-		"unknown list":  {batch(1, fmt.Sprintf(boot, 0), `{"discovery":{"balancer":0,"form":1,"revision":1,"slot":9}}`), "list 9"},
-		"settings type": {batch(1, `{"powerOn":{"balancer":0,"prng":1,"bootInfo":{"tick":"x"}}}`), "settings"},
+		"unknown list":  {batchOf(1, fmt.Sprintf(powerOnEvent, 0), `{"discovery":{"balancer":0,"form":1,"revision":1,"slot":9}}`), "list 9"},
+		"settings type": {batchOf(1, `{"powerOn":{"balancer":0,"prng":1,"bootInfo":{"tick":"x"}}}`), "settings"},
 	} {
-		if _, _, err := run(t, c.in); err == nil || !strings.Contains(err.Error(), c.want) {
-			t.Errorf("%s: error %v, want one with %q", name, err, c.want)
+		if _, _, err := runAdapter(t, test.in); err == nil || !strings.Contains(err.Error(), test.want) {
+			t.Errorf("%s: error %v, want one with %q", name, err, test.want)
 		}
 	}
-	out, warn, err := run(t, batch(1, `{"bell":{"balancer":4,"name":1}}`))
+	out, warn, err := runAdapter(t, batchOf(1, `{"bell":{"balancer":4,"name":1}}`))
 	if err != nil || !strings.Contains(warn, "instance 4") || out != "{\"done\":{\"turn\":1}}\n" {
 		t.Errorf("event for an instance that is not running: %q, %q, %v", out, warn, err)
 	}
 }
 
-func TestFaultBecomesException(t *testing.T) {
+func TestPanicBecomesException(t *testing.T) {
 	var out, warn bytes.Buffer
-	h := NewAdapter(strings.NewReader(""), &out, &warn)
-	h.instances[1] = new(policy.Balancer) // never made by New: it faults on the first request
-	h.guarded(time.Second, &Event{Kind: Request, Instance: 1, Request: policy.Request{ID: "x", TTL: time.Second}})
-	if got := string(h.enc.Done(1)); !strings.Contains(got, `{"exception":{"text":"`) {
+	a := NewAdapter(strings.NewReader(""), &out, &warn)
+	a.instances[1] = new(policy.Balancer) // not created by New: it panics on the first request
+	a.dispatch(time.Second, &Event{Kind: Request, Instance: 1, Request: policy.Request{ID: "x", TTL: time.Second}})
+	if got := string(a.encoder.EndBatch(1)); !strings.Contains(got, `{"exception":{"text":"`) {
 		t.Errorf("reply %s", got)
 	}
 }
 
-func TestStopForgetsAnInstance(t *testing.T) {
-	_, warn, err := run(t, batch(1, start(0)...)+batch(2, `{"shutdown":{"balancer":0}}`, fmt.Sprintf(order, 0, 1, 1)))
+func TestStopRemovesInstance(t *testing.T) {
+	_, warn, err := runAdapter(t, batchOf(1, startEvents(0)...)+batchOf(2, `{"shutdown":{"balancer":0}}`, fmt.Sprintf(orderEvent, 0, 1, 1)))
 	if err != nil || !strings.Contains(warn, "not running") {
 		t.Errorf("warnings %q, %v", warn, err)
 	}
 }
 
-// Instances share nothing: together and apart they act alike.
-func TestOneProcessOrTwo(t *testing.T) {
+// Instances must share no state: two instances in one process act exactly as they do in two processes.
+func TestInstancesAreIndependent(t *testing.T) {
 	script := func(ns ...int) string {
 		var events []string
 		for _, n := range ns {
-			events = append(events, start(n)...)
+			events = append(events, startEvents(n)...)
 			for i := range 20 {
-				events = append(events, fmt.Sprintf(order, n, n*100+i, i%4))
+				events = append(events, fmt.Sprintf(orderEvent, n, n*100+i, i%4))
 			}
 		}
-		return batch(1, events...)
+		return batchOf(1, events...)
 	}
-	both, _, _ := run(t, script(0, 1))
-	a, _, _ := run(t, script(0))
-	b, _, _ := run(t, script(1))
+	both, _, _ := runAdapter(t, script(0, 1))
+	a, _, _ := runAdapter(t, script(0))
+	b, _, _ := runAdapter(t, script(1))
 	end := "{\"done\":{\"turn\":1}}\n"
 	if both != strings.TrimSuffix(a, end)+b || !strings.Contains(both, "place") {
-		t.Error("actions differ between one process and two")
+		t.Error("actions differ between two instances in one process and in two processes")
 	}
 }
 
 func TestActions(t *testing.T) {
 	var e Encoder
-	e.For(2)
+	e.SetInstance(2)
 	e.Send("r", "s", 5)
 	e.Refuse("r", 0, policy.NoTimeLeft)
 	e.Refuse("r", 7, policy.NoServer)
@@ -159,7 +159,7 @@
 {"sayLog":{"balancer":2,"text":"t"}}
 {"done":{"turn":4}}
 `
-	if got := string(e.Done(4)); got != want {
+	if got := string(e.EndBatch(4)); got != want {
 		t.Errorf("encoded\n%swant\n%s", got, want)
 	}
 }
@@ -171,40 +171,40 @@
 }
 
 func BenchmarkDecodedEvent(b *testing.B) {
-	d, line := NewDecoder(), []byte(fmt.Sprintf(order, 3, 17, 4050608788307276))
+	d, line := NewDecoder(), []byte(fmt.Sprintf(orderEvent, 3, 17, 4050608788307276))
 	b.ReportAllocs()
 	for b.Loop() {
-		if _, err := d.Line(line); err != nil {
+		if _, err := d.DecodeLine(line); err != nil {
 			b.Fatal(err)
 		}
 	}
 }
 
-func TestPeerMessagesComeBackAsSent(t *testing.T) {
-	for _, c := range []struct {
+func TestSiblingMessageRoundTrip(t *testing.T) {
+	for _, test := range []struct {
 		server     uint32
 		sent, want time.Duration
 	}{{0xfedcba98, 270 * time.Millisecond, 270 * time.Millisecond}, {7, time.Hour, 65535 * time.Millisecond}} {
 		var enc Encoder
-		enc.For(3)
-		enc.NotifySiblings(c.server, c.sent)
-		line := strings.Split(string(enc.Done(1)), "\n")[0]
+		enc.SetInstance(3)
+		enc.NotifySiblings(test.server, test.sent)
+		line := strings.Split(string(enc.EndBatch(1)), "\n")[0]
 		if !strings.HasPrefix(line, `{"writePeer":{"balancer":3,"whom":"*","contents":"`) {
 			t.Fatalf("wrote %s", line)
 		}
-		heard := strings.Replace(strings.Replace(line, "writePeer", "memo", 1), `"whom":"*"`, `"originPeer":5`, 1)
-		e, err := NewDecoder().Line([]byte(heard))
-		if err != nil || e.Kind != Memo || e.Peer != c.server || e.Delay != c.want {
+		received := strings.Replace(strings.Replace(line, "writePeer", "memo", 1), `"whom":"*"`, `"originPeer":5`, 1)
+		e, err := NewDecoder().DecodeLine([]byte(received))
+		if err != nil || e.Kind != SiblingMessage || e.ServerHash != test.server || e.Delay != test.want {
 			t.Errorf("%s came back as %+v, %v", line, e, err)
 		}
 	}
-	e, err := NewDecoder().Line([]byte(`{"memo":{"balancer":3,"originPeer":5,"contents":"aGkgNw=="}}`))
-	if err != nil || e.Kind != Skip {
+	e, err := NewDecoder().DecodeLine([]byte(`{"memo":{"balancer":3,"originPeer":5,"contents":"aGkgNw=="}}`))
+	if err != nil || e.Kind != Ignored {
 		t.Errorf("a message of another version: %+v, %v", e, err)
 	}
 }
 
-func bootWith(invariants string) []byte {
+func powerOnWithInvariants(invariants string) []byte {
 	return []byte(`{"powerOn":{"balancer":0,"prng":7,"bootInfo":{"locality":"z","invariants":{` + invariants + `}}}}`)
 }
 
@@ -219,7 +219,7 @@
 		`"onlyDrainingBinds":true`:                                 {GoneServersUsable: true},
 		`"onlyDrainingBinds":false`:                                {},
 	} {
-		e, err := NewDecoder().Line(bootWith(text))
+		e, err := NewDecoder().DecodeLine(powerOnWithInvariants(text))
 		if err != nil {
 			t.Errorf("%s: %v", text, err)
 			continue
@@ -246,15 +246,15 @@
 		`"spareAttempts":2,"ratioSpan":"2000000000"`:  "settings",
 		`"spareAttempts":1e999,"ratioSpan":200000000`: "settings",
 	} {
-		if _, err := NewDecoder().Line(bootWith(text)); err == nil || !strings.Contains(err.Error(), want) {
+		if _, err := NewDecoder().DecodeLine(powerOnWithInvariants(text)); err == nil || !strings.Contains(err.Error(), want) {
 			t.Errorf("%s: error %v, want one with %q", text, err, want)
 		}
 	}
 }
 
-func TestKindOfMachine(t *testing.T) {
-	e, err := NewDecoder().Line([]byte(list))
-	if err != nil || len(e.Entries) != 2 || e.Entries[0].Kind != "m" || e.Entries[0].Zone != "z" {
-		t.Errorf("entries %+v, %v", e.Entries, err)
+func TestServerKindAndZone(t *testing.T) {
+	e, err := NewDecoder().DecodeLine([]byte(listEvent))
+	if err != nil || len(e.Servers) != 2 || e.Servers[0].Kind != "m" || e.Servers[0].Zone != "z" {
+		t.Errorf("entries %+v, %v", e.Servers, err)
 	}
 }
