--- a/internal/placement/bound.go
+++ b/internal/placement/bound.go
@@ -5,209 +5,213 @@
 	"slices"
 )
 
-// dual prices what each room serves. For any prices from 0 on,
+// dual is the Lagrangian dual of the placement problem: a price per load for what each room serves. For any prices from
+// 0 on,
 //
-//	sum over rooms of price x what it serves  +  sum over flights of the most that the flight brings at these prices
+//	sum over rooms of price x usable capacity  +  sum over flights of the highest value of the flight at these prices
 //
-// is at least what any placement is worth: a placement's value is at most what it would be if loads could be bought at
-// the price, and what it buys is at most what the rooms serve. The most that a flight brings is found by trying every
-// room for every piece where those are few; else each piece by itself, with its share of one host's price for the
-// flight, which is at most what the flight pays.
+// is at least the value of any placement: a placement is worth at most what it would be worth if loads could be bought
+// at the prices, and it cannot buy more than the usable capacity of the rooms. The highest value of a flight is found
+// by trying every room for every piece where there are few combinations. Otherwise each piece is valued by itself, with
+// its share of one overhead for the flight, which is at most what the flight pays.
 type dual struct {
 	*problem
 	price []float64
 }
 
-const mostCombinations = 128
+// maxCombinations is the number of ways to place the pieces of a flight in rooms up to which all of them are tried.
+const maxCombinations = 128
 
-// choices is how many ways there are to give each of n pieces one of so many places or none; more than most where that
-// is exceeded.
-func choices(n, places, most int) int {
+// choiceCount is the number of ways to give each of n pieces one of the places, or none. Above the limit it returns
+// limit+1.
+func choiceCount(n, places, limit int) int {
 	count := 1
 	for range n {
-		if count *= places + 1; count > most {
-			return most + 1
+		if count *= places + 1; count > limit {
+			return limit + 1
 		}
 	}
 	return count
 }
 
-// place is the place that a choice, read as a number to the base of places + 1, has for a piece; none for digit 0. The
-// rest of the number is for the pieces after it.
-func place(choice, places int) (at, rest int) {
+// decodeChoice reads a choice as a number to the base of places+1. It returns the index of the place of the first
+// piece, or none for the digit 0, and the choice for the remaining pieces.
+func decodeChoice(choice, places int) (index, rest int) {
 	return choice%(places+1) - 1, choice / (places + 1)
 }
 
-// flightMost is the most that a flight brings at the prices, and the load that it then buys in each room.
-func (d *dual) flightMost(n int, buys []float64) float64 {
-	pieces := d.pieces[d.from[n]:d.from[n+1]]
-	combinations := choices(len(pieces), len(d.rooms), mostCombinations)
-	if combinations > mostCombinations {
-		return d.apart(n, pieces, buys)
+// flightBound is the highest value of a flight at the prices. It adds the load that the flight then buys in each room
+// to purchased, if that is not nil.
+func (d *dual) flightBound(n int, purchased []float64) float64 {
+	pieces := d.pieces[d.firstPiece[n]:d.firstPiece[n+1]]
+	combinations := choiceCount(len(pieces), len(d.rooms), maxCombinations)
+	if combinations > maxCombinations {
+		return d.separateBound(n, pieces, purchased)
 	}
 	best, bestChoice := 0.0, 0
 	for choice := 1; choice < combinations; choice++ {
-		if total := d.brings(pieces, choice); total > best {
+		if total := d.choiceValue(pieces, choice); total > best {
 			best, bestChoice = total, choice
 		}
 	}
-	if buys != nil {
-		d.buy(pieces, bestChoice, buys)
+	if purchased != nil {
+		d.addPurchases(pieces, bestChoice, purchased)
 	}
 	return best
 }
 
-// brings is what the pieces of a flight bring in the rooms of a choice.
-func (d *dual) brings(pieces []piece, choice int) float64 {
+// choiceValue is the value of the pieces of a flight in the rooms of a choice.
+func (d *dual) choiceValue(pieces []piece, choice int) float64 {
 	total, used := 0.0, uint64(0)
 	for c, r := 0, 0; c < len(pieces); c++ {
-		if r, choice = place(choice, len(d.rooms)); r == none {
+		if r, choice = decodeChoice(choice, len(d.rooms)); r == none {
 			continue
 		}
-		if len(d.byRoom[r]) == 0 {
+		if len(d.hostsByRoom[r]) == 0 {
 			return math.Inf(-1)
 		}
-		total += d.reduced(&pieces[c], r)
+		total += d.reducedGain(&pieces[c], r)
 		if used&(1<<r) == 0 {
 			used |= 1 << r
-			total -= d.hold(r)
+			total -= d.holdCost(r)
 		}
 	}
 	return total
 }
 
-// buy adds the load that the pieces of a flight take in the rooms of a choice.
-func (d *dual) buy(pieces []piece, choice int, buys []float64) {
+// addPurchases adds the load that the pieces of a flight need in the rooms of a choice.
+func (d *dual) addPurchases(pieces []piece, choice int, purchased []float64) {
 	used := uint64(0)
 	for c, r := 0, 0; c < len(pieces); c++ {
-		if r, choice = place(choice, len(d.rooms)); r == none {
+		if r, choice = decodeChoice(choice, len(d.rooms)); r == none {
 			continue
 		}
-		buys[r] += pieces[c].load
+		purchased[r] += pieces[c].load
 		if used&(1<<r) == 0 {
 			used |= 1 << r
-			buys[r] += d.least[r]
+			purchased[r] += d.minOverhead[r]
 		}
 	}
 }
 
-// apart is at least the most that a flight brings, with each piece by itself.
-func (d *dual) apart(n int, pieces []piece, buys []float64) float64 {
+// separateBound is an upper bound on the value of a flight, with each piece valued by itself.
+func (d *dual) separateBound(n int, pieces []piece, purchased []float64) float64 {
 	sum := 0.0
 	for c := range pieces {
-		share := 1 / float64(len(pieces))
-		if d.flight[n] > 0 {
-			share = pieces[c].load / d.flight[n]
+		loadShare := 1 / float64(len(pieces))
+		if d.flightLoad[n] > 0 {
+			loadShare = pieces[c].load / d.flightLoad[n]
 		}
-		best, at := 0.0, none
+		best, room := 0.0, none
 		for r := range d.rooms {
-			if len(d.byRoom[r]) > 0 {
-				if g := d.reduced(&pieces[c], r) - share*d.hold(r); g > best {
-					best, at = g, r
+			if len(d.hostsByRoom[r]) > 0 {
+				if g := d.reducedGain(&pieces[c], r) - loadShare*d.holdCost(r); g > best {
+					best, room = g, r
 				}
 			}
 		}
-		if sum += best; at != none && buys != nil {
-			buys[at] += pieces[c].load + share*d.least[at]
+		if sum += best; room != none && purchased != nil {
+			purchased[room] += pieces[c].load + loadShare*d.minOverhead[room]
 		}
 	}
 	return sum
 }
 
-// reduced is what serving a piece in a room brings at the prices.
-func (d *dual) reduced(c *piece, r int) float64 {
-	g := c.worth + c.refund - d.price[r]*c.load
+// reducedGain is the value of serving a piece in a room, less the price of its load.
+func (d *dual) reducedGain(c *piece, r int) float64 {
+	g := c.worth + c.wasteCredit - d.price[r]*c.load
 	if r != c.room {
 		g -= d.prices.Crossing * c.worth
 	}
-	if c.was != none && d.room[c.was] != r {
+	if c.current != none && d.hostRoom[c.current] != r {
 		g -= d.prices.Move * c.worth
 	}
 	return g
 }
 
-// hold is the least that holding a flight in a room costs at the prices.
-func (d *dual) hold(r int) float64 { return d.least[r] * (d.waste + d.price[r]) }
+// holdCost is the least cost of holding a flight in a room at the prices.
+func (d *dual) holdCost(r int) float64 { return d.minOverhead[r] * (d.wastePerLoad + d.price[r]) }
 
-// most is the bound at these prices; buys, if not nil, takes the load bought in each room.
-func (d *dual) most(buys []float64) float64 {
+// bound is the upper bound at the prices. It adds the load bought in each room to purchased, if that is not nil.
+func (d *dual) bound(purchased []float64) float64 {
 	sum := 0.0
-	for r, hosts := range d.byRoom {
+	for r, hosts := range d.hostsByRoom {
 		for _, h := range hosts {
-			sum += d.price[r] * d.serves[h]
+			sum += d.price[r] * d.usable[h]
 		}
 	}
-	for n := range d.flight {
-		sum += d.flightMost(n, buys)
+	for n := range d.flightLoad {
+		sum += d.flightBound(n, purchased)
 	}
 	return sum
 }
 
-// What the descent of the bound goes by.
+// Parameters of the subgradient descent.
 const (
-	patienceOfStep = 3     // rounds without a lower bound after which steps are halved
-	lowerBy        = 1e-12 // share by which a bound has to be lower
-	leastStep      = 1e-6  // share of the bound that a step goes by at the least
-	flightsAStep   = 8     // a round costs a step for so many flights
+	maxStalledRounds = 3     // rounds without a lower bound after which the step size is halved
+	minImprovement   = 1e-12 // share by which a bound must be lower to count as an improvement
+	minStepShare     = 1e-6  // least gap to the best value that a step assumes, as a share of the bound
+	flightsPerStep   = 8     // a round counts as one step of the search per this many flights
 )
 
-// descend looks for the prices with the lowest bound, by steps against the surplus of each room (a subgradient
-// method). The bound holds at every step, so it may end at any.
-func (s *search) descend(rounds int) *dual {
+// subgradientDescent looks for the prices with the lowest bound, by steps along the excess demand of each room. The
+// bound is valid at all prices, so the descent may end at any step.
+func (s *search) subgradientDescent(rounds int) *dual {
 	d := &dual{problem: s.problem, price: make([]float64, len(s.rooms))}
-	serves := s.roomServes()
-	scale, since := 1.0, 0
+	usable := s.usableByRoom()
+	scale, stalledRounds := 1.0, 0
 	for range rounds {
-		if s.ended() {
+		if s.finished() {
 			break
 		}
-		s.steps += len(s.flight) / flightsAStep
-		buys := make([]float64, len(s.rooms))
-		b := d.most(buys)
-		if b < s.bound-lowerBy*math.Abs(s.bound) {
-			s.bound, s.prices, since = b, slices.Clone(d.price), 0
-		} else if since++; since > patienceOfStep {
-			scale, since = scale/2, 0
-			copy(d.price, s.prices)
-		}
-		square := d.surplus(buys, serves)
-		if square == 0 {
+		s.steps += len(s.flightLoad) / flightsPerStep
+		purchased := make([]float64, len(s.rooms))
+		bound := d.bound(purchased)
+		if bound < s.bound-minImprovement*math.Abs(s.bound) {
+			s.bound, s.dualPrices, stalledRounds = bound, slices.Clone(d.price), 0
+		} else if stalledRounds++; stalledRounds > maxStalledRounds {
+			scale, stalledRounds = scale/2, 0
+			copy(d.price, s.dualPrices)
+		}
+		squares := d.excessDemand(purchased, usable)
+		if squares == 0 {
 			break
 		}
-		if !d.step(buys, scale*max(b-s.total, leastStep*math.Abs(b))/square) {
+		if !d.stepPrices(purchased, scale*max(bound-s.bestValue, minStepShare*math.Abs(bound))/squares) {
 			break
 		}
 	}
-	copy(d.price, s.prices)
+	copy(d.price, s.dualPrices)
 	return d
 }
 
-// roomServes is what the hosts of each room serve together.
-func (p *problem) roomServes() []float64 {
-	serves := make([]float64, len(p.rooms))
-	for r, hosts := range p.byRoom {
+// usableByRoom is the usable capacity of the hosts of each room together.
+func (p *problem) usableByRoom() []float64 {
+	usable := make([]float64, len(p.rooms))
+	for r, hosts := range p.hostsByRoom {
 		for _, h := range hosts {
-			serves[r] += p.serves[h]
+			usable[r] += p.usable[h]
 		}
 	}
-	return serves
+	return usable
 }
 
-// surplus turns what is bought in each room into what that is over what the room serves, and tells the square of it all.
-func (d *dual) surplus(buys, serves []float64) (square float64) {
-	for r := range buys {
-		if buys[r] -= serves[r]; buys[r] < 0 && d.price[r] == 0 {
-			buys[r] = 0
+// excessDemand subtracts the usable capacity of each room from what is bought there, and returns the sum of the
+// squares. Unused capacity at a price of 0 counts as no excess.
+func (d *dual) excessDemand(purchased, usable []float64) (squares float64) {
+	for r := range purchased {
+		if purchased[r] -= usable[r]; purchased[r] < 0 && d.price[r] == 0 {
+			purchased[r] = 0
 		}
-		square += buys[r] * buys[r]
+		squares += purchased[r] * purchased[r]
 	}
-	return square
+	return squares
 }
 
-// step moves the prices along the surplus, none under 0, and tells whether any has changed.
-func (d *dual) step(surplus []float64, size float64) (moved bool) {
-	for r := range surplus {
-		next := max(d.price[r]+size*surplus[r], 0)
+// stepPrices moves the prices along the excess demand, none below 0, and reports whether any has changed.
+func (d *dual) stepPrices(excess []float64, size float64) (moved bool) {
+	for r := range excess {
+		next := max(d.price[r]+size*excess[r], 0)
 		moved = moved || next != d.price[r]
 		d.price[r] = next
 	}
--- a/internal/placement/branch.go
+++ b/internal/placement/branch.go
@@ -5,164 +5,166 @@
 	"slices"
 )
 
-// mostOptions is the most places of a flight that branch and bound lists.
-const mostOptions = 4096
+// maxOptions is the number of ways to place one flight up to which branch and bound is used.
+const maxOptions = 4096
 
-// branch looks through all placements but those that cannot be worth more than the best, flight by flight, the largest
-// first; false if the limit ended it.
+// branchAndBound searches all placements except those that cannot be better than the best, flight by flight, the
+// largest first. It reports whether the search is complete, so that the best placement is proved optimal.
 //
-// What a flight brings at the prices of the bound, in the best place less in the one chosen, is lost for good; so the
-// bound falls by it. Where a host is full and gives up what is worth more a load than the room's price, its value is
-// known but for what the price would have bought: whatever comes on top brings no more there than at the price, as the
-// most a host serves is concave in what is placed there.
-func (s *search) branch(d *dual) (whole bool) {
-	b := s.brancher(d)
-	b.visit(0, d.most(nil))
-	return b.whole
+// Placing a flight lowers the bound by the difference between its highest value at the dual prices and its value in the
+// chosen place. Where a host is full and sheds load with a gain above the price of its room, the bound falls further,
+// to the exact value of the host: pieces that are added later bring no more there than at the price, because the value
+// of a host is concave in what is placed on it.
+func (s *search) branchAndBound(d *dual) (complete bool) {
+	b := s.newBrancher(d)
+	b.visit(0, d.bound(nil))
+	return b.complete
 }
 
 // brancher is the state of branch and bound.
 type brancher struct {
 	*search
-	dual    *dual
-	st      *state
-	loss    []float64 // of each host, known by what is placed there
-	options [][]option
-	whole   bool
+	dual     *dual
+	current  *state     // the partial placement
+	loss     []float64  // of each host: how far its exact value is below the bound
+	options  [][]option // of each flight
+	complete bool       // the search has left out nothing because of a limit
 }
 
-// option is a place for each piece of a flight, and what it loses against the best.
+// option is a host for each piece of a flight, and its loss of value compared with the flight's bound.
 type option struct {
-	at   []int32
-	loss float64
+	hosts []int32
+	loss  float64
 }
 
-func (s *search) brancher(d *dual) *brancher {
-	b := &brancher{search: s, dual: d, st: s.state(s.nowhere()), loss: make([]float64, len(s.hosts)), whole: true}
-	for n := range s.flight {
-		b.options = append(b.options, b.list(n))
+func (s *search) newBrancher(d *dual) *brancher {
+	b := &brancher{search: s, dual: d, current: s.newState(s.emptyPlacement()), loss: make([]float64, len(s.hostIndexes)), complete: true}
+	for n := range s.flightLoad {
+		b.options = append(b.options, b.listOptions(n))
 	}
 	return b
 }
 
-// list is the options of a flight, the least loss first; none where they are too many.
-func (b *brancher) list(n int) (all []option) {
-	pieces := b.pieces[b.from[n]:b.from[n+1]]
-	most := b.dual.flightMost(n, nil)
-	count := choices(len(pieces), len(b.hosts), mostOptions)
-	if count > mostOptions {
-		b.whole = false
+// listOptions returns the options of a flight, the least loss first, or nil if there are too many.
+func (b *brancher) listOptions(n int) (all []option) {
+	pieces := b.pieces[b.firstPiece[n]:b.firstPiece[n+1]]
+	bound := b.dual.flightBound(n, nil)
+	count := choiceCount(len(pieces), len(b.hostIndexes), maxOptions)
+	if count > maxOptions {
+		b.complete = false
 		return nil
 	}
 	for choice := range count {
-		all = append(all, b.option(pieces, choice, most))
+		all = append(all, b.newOption(pieces, choice, bound))
 	}
 	slices.SortStableFunc(all, func(x, y option) int { return cmp.Compare(x.loss, y.loss) })
 	return all
 }
 
-// option is one choice of places for the pieces of a flight that brings at most so much.
-func (b *brancher) option(pieces []piece, choice int, most float64) option {
-	o := option{at: make([]int32, len(pieces))}
+// newOption decodes one choice of hosts for the pieces of a flight with the given bound.
+func (b *brancher) newOption(pieces []piece, choice int, bound float64) option {
+	o := option{hosts: make([]int32, len(pieces))}
 	value := 0.0
 	for c, h := 0, 0; c < len(pieces); c++ {
-		h, choice = place(choice, len(b.hosts))
-		if o.at[c] = int32(h); h == none {
+		h, choice = decodeChoice(choice, len(b.hostIndexes))
+		if o.hosts[c] = int32(h); h == none {
 			continue
 		}
-		price := b.dual.price[b.room[h]]
+		price := b.dual.price[b.hostRoom[h]]
 		value += max(b.gain(&pieces[c], h)-price*pieces[c].load, 0)
-		if !slices.Contains(o.at[:c], int32(h)) {
-			value -= b.over[h] * (b.waste + price)
+		if !slices.Contains(o.hosts[:c], int32(h)) {
+			value -= b.overhead[h] * (b.wastePerLoad + price)
 		}
 	}
-	o.loss = max(most-value, 0)
+	o.loss = max(bound-value, 0)
 	return o
 }
 
-// visit tries all options of a flight and, below each, of those after it.
+// visit tries all options of a flight and, for each of them, those of the flights after it.
 func (b *brancher) visit(n int, bound float64) {
-	if n == len(b.flight) {
-		if total := sum(b.st.worths); total > b.total+tolerance*b.worth {
-			b.best, b.total = slices.Clone(b.st.at), total
+	if n == len(b.flightLoad) {
+		if total := sum(b.current.hostWorth); total > b.bestValue+tolerance*b.totalWorth {
+			b.best, b.bestValue = slices.Clone(b.current.hostOf), total
 		}
 		return
 	}
 	for _, o := range b.options[n] {
-		if b.cut() {
+		if b.aborted() {
 			return
 		}
-		if bound-o.loss <= b.total+tolerance*b.worth {
-			return // and so are all that follow
+		if bound-o.loss <= b.bestValue+tolerance*b.totalWorth {
+			return // the options that follow lose at least as much
 		}
 		b.steps++
-		if b.twin(o.at) {
+		if b.isSymmetric(o.hosts) {
 			continue
 		}
 		next := bound - o.loss
-		before := b.choose(n, o, &next)
-		if next > b.total+tolerance*b.worth {
+		saved := b.applyOption(n, o, &next)
+		if next > b.bestValue+tolerance*b.totalWorth {
 			b.visit(n+1, next)
 		}
-		b.unchoose(n, o, before)
+		b.revertOption(n, o, saved)
 	}
 }
 
-// valued is what a host was worth and was known to lose.
-type valued struct {
+// savedHost is the worth and loss of a host before a change.
+type savedHost struct {
 	host        int32
 	worth, loss float64
 }
 
-// choose places a flight by an option, takes what is then known to be lost off the bound, and tells the hosts' values
-// before.
-func (b *brancher) choose(n int, o option, bound *float64) (before []valued) {
-	for c, h := range o.at {
+// applyOption places a flight by an option, lowers the bound by the additional losses of its hosts, and returns their
+// state before.
+func (b *brancher) applyOption(n int, o option, bound *float64) (saved []savedHost) {
+	for c, h := range o.hosts {
 		if h != none {
-			b.st.shift(change{int32(b.from[n] + c), none, h})
+			b.current.move(pieceMove{int32(b.firstPiece[n] + c), none, h})
 		}
 	}
-	for c, h := range o.at {
-		if h == none || slices.Contains(o.at[:c], h) {
+	for c, h := range o.hosts {
+		if h == none || slices.Contains(o.hosts[:c], h) {
 			continue
 		}
-		before = append(before, valued{h, b.st.worths[h], b.loss[h]})
-		*bound += b.loss[h] - b.settle(int(h))
+		saved = append(saved, savedHost{h, b.current.hostWorth[h], b.loss[h]})
+		*bound += b.loss[h] - b.settleLoss(int(h))
 	}
-	return before
+	return saved
 }
 
-// unchoose takes back what choose did.
-func (b *brancher) unchoose(n int, o option, before []valued) {
-	for c, h := range slices.Backward(o.at) {
+// revertOption takes back what applyOption did.
+func (b *brancher) revertOption(n int, o option, saved []savedHost) {
+	for c, h := range slices.Backward(o.hosts) {
 		if h != none {
-			list := b.st.items[h]
-			b.st.items[h] = list[:len(list)-1]
-			b.st.at[b.from[n]+c] = none
+			pieces := b.current.piecesOn[h]
+			b.current.piecesOn[h] = pieces[:len(pieces)-1]
+			b.current.hostOf[b.firstPiece[n]+c] = none
 		}
 	}
-	for _, v := range before {
-		b.st.worths[v.host], b.loss[v.host] = v.worth, v.loss
+	for _, v := range saved {
+		b.current.hostWorth[v.host], b.loss[v.host] = v.worth, v.loss
 	}
 }
 
-// cut tells that the limit has ended the search, or that not all options are listed.
-func (b *brancher) cut() bool {
-	if b.search.ended() {
-		b.whole = false
+// aborted reports whether a limit has ended the search, or the options of a flight are too many to list.
+func (b *brancher) aborted() bool {
+	if b.search.finished() {
+		b.complete = false
 	}
-	return !b.whole
+	return !b.complete
 }
 
-// settle works out what a host is worth with what is placed there, and how far that is under the bound's value for it.
-func (b *brancher) settle(h int) float64 {
-	total, d := b.st.host(h, b.st.items[h])
-	b.st.worths[h], b.loss[h] = total, 0
-	price := b.dual.price[b.room[h]]
-	if d.full && d.margin >= price {
-		over := float64(d.pieces) * b.over[h]
-		bound := price*(b.serves[h]-over) - over*b.waste // all of it: gains hold what is given back
-		for _, i := range b.st.items[h] {
+// settleLoss computes the value of a host with its pieces, and returns how far it is below the bound's value for the
+// host.
+func (b *brancher) settleLoss(h int) float64 {
+	total, d := b.current.hostValue(h, b.current.piecesOn[h])
+	b.current.hostWorth[h], b.loss[h] = total, 0
+	price := b.dual.price[b.hostRoom[h]]
+	if d.full && d.marginalGain >= price {
+		overhead := float64(d.flights) * b.overhead[h]
+		// The waste is deducted in full, as the gains contain the credit for the first host.
+		bound := price*(b.usable[h]-overhead) - overhead*b.wastePerLoad
+		for _, i := range b.current.piecesOn[h] {
 			bound += max(b.gain(&b.pieces[i], h)-price*b.pieces[i].load, 0)
 		}
 		b.loss[h] = max(bound-total, 0)
@@ -170,14 +172,15 @@
 	return b.loss[h]
 }
 
-// twin tells that an empty host is chosen where one before it is empty and the same.
-func (b *brancher) twin(at []int32) bool {
-	for c, h := range at {
-		if h == none || len(b.st.items[h]) > 0 || b.home[h] {
+// isSymmetric reports whether an option uses an empty host although an interchangeable one before it is empty too. Such
+// options only repeat others.
+func (b *brancher) isSymmetric(hosts []int32) bool {
+	for c, h := range hosts {
+		if h == none || len(b.current.piecesOn[h]) > 0 || b.isCurrentHost[h] {
 			continue
 		}
-		for o := int32(0); o < h; o++ {
-			if b.same(o, h) && !slices.Contains(at[:c], o) {
+		for other := int32(0); other < h; other++ {
+			if b.interchangeable(other, h) && !slices.Contains(hosts[:c], other) {
 				return true
 			}
 		}
@@ -185,9 +188,10 @@
 	return false
 }
 
-// same tells that a host is empty and like another one.
-func (b *brancher) same(o, h int32) bool {
-	return len(b.st.items[o]) == 0 && b.serves[o] == b.serves[h] && b.room[o] == b.room[h] && b.over[o] == b.over[h] && !b.home[o]
+// interchangeable reports whether another host is empty and equal to h.
+func (b *brancher) interchangeable(other, h int32) bool {
+	return len(b.current.piecesOn[other]) == 0 && b.usable[other] == b.usable[h] &&
+		b.hostRoom[other] == b.hostRoom[h] && b.overhead[other] == b.overhead[h] && !b.isCurrentHost[other]
 }
 
 func sum(all []float64) (total float64) {
--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -5,136 +5,141 @@
 	"slices"
 )
 
-// Estimator works out what hosts can do from how much they held and what they reported then. A host's capacity is the
-// load it held in all over the x0 it told in all: reports are late, and over many of them what came later is as often
-// more as less. Its error follows from how far blocks of reports differ. Both are drawn towards the mean of the host's
-// kind, by as much as its own reports tell less than that hosts of a kind are alike.
-type Estimator struct {
-	hosts map[string]*estimate
+// CapacityEstimator estimates the capacity of hosts from the load that they held when they reported their x0. The
+// capacity of a host is the sum of its loads over the sum of its x0 values: reports are late, and over many of them the
+// load since the report has grown as often as it has shrunk. Its standard error follows from how much blocks of reports
+// differ (jackknife). Both are combined with the mean of the host's kind, weighted by their precision.
+type CapacityEstimator struct {
+	hosts map[string]*hostSamples
 }
 
-type estimate struct {
+// hostSamples are the samples of one host: load[i] was held when x0[i] was reported.
+type hostSamples struct {
 	room, kind string
 	load, x0   []float64
 }
 
-// NewEstimator makes one that knows nothing.
-func NewEstimator() *Estimator { return &Estimator{map[string]*estimate{}} }
+// NewCapacityEstimator returns an estimator without hosts.
+func NewCapacityEstimator() *CapacityEstimator { return &CapacityEstimator{map[string]*hostSamples{}} }
 
-// Know tells of a host.
-func (e *Estimator) Know(id, room, kind string) {
+// AddHost adds a host, or updates its room and kind.
+func (e *CapacityEstimator) AddHost(id, room, kind string) {
 	if e.hosts[id] == nil {
-		e.hosts[id] = &estimate{}
+		e.hosts[id] = &hostSamples{}
 	}
 	e.hosts[id].room, e.hosts[id].kind = room, kind
 }
 
-// What is taken for granted of hosts, as shares of a capacity.
+// Parameters of the estimate. Errors and spreads are shares of a capacity.
 const (
-	blocks        = 8    // of reports; fewer reports tell nothing of their error
-	leastOwnError = 0.01 // of what a host's own reports tell
-	leastSpread   = 0.05 // of hosts of a kind
-	spreadOfOne   = 0.2  // of a kind with one known host: two of a kind differ by a fifth
-	spreadOfKinds = 0.4  // of hosts whose kind is not known
+	jackknifeBlocks   = 8    // blocks of reports; with fewer reports their error cannot be estimated
+	minOwnError       = 0.01 // least standard error of an estimate from a host's own reports
+	minKindSpread     = 0.05 // least spread of the hosts of a kind
+	singleHostSpread  = 0.2  // spread of a kind with one known host, assuming that two of a kind differ by a fifth
+	unknownKindSpread = 0.4  // spread of hosts of an unknown kind
 )
 
-// unknownHost is a host where no capacity at all is known.
-var unknownHost = figures{1, 0.5}
+// defaultPrior applies where no capacity at all is known.
+var defaultPrior = capacityPrior{1, 0.5}
 
-// idle is the x0 under which a report tells nothing: it is of the noise.
-const idle = 0.02
+// minX0 is the x0 up to which a report is ignored, as it is mostly noise.
+const minX0 = 0.02
 
-// Learn takes that a warm host held so much load when it reported an x0.
-func (e *Estimator) Learn(id string, load, x0 float64) {
-	if h := e.hosts[id]; h != nil && x0 > idle && load > 0 && !math.IsInf(load+x0, 0) {
+// AddSample adds the load that a warm host held when it reported an x0.
+func (e *CapacityEstimator) AddSample(id string, load, x0 float64) {
+	if h := e.hosts[id]; h != nil && x0 > minX0 && load > 0 && !math.IsInf(load+x0, 0) {
 		h.load, h.x0 = append(h.load, load), append(h.x0, x0)
 	}
 }
 
-// own is what a host's reports alone tell: its capacity and the error of that; no error without enough of them.
-func (h *estimate) own() (capacity, err float64, ok bool) {
-	if len(h.load) < blocks {
+// ownEstimate is the capacity that follows from a host's own reports, with its standard error; not ok with too few of
+// them.
+func (h *hostSamples) ownEstimate() (capacity, stdErr float64, ok bool) {
+	if len(h.load) < jackknifeBlocks {
 		return 0, 0, false
 	}
 	capacity = sum(h.load) / sum(h.x0)
-	// leave out one block after the other: their ratios differ by as much as the whole is off
-	square := 0.0
-	for b := range blocks {
-		from, to := b*len(h.load)/blocks, (b+1)*len(h.load)/blocks
-		left := (sum(h.load) - sum(h.load[from:to])) / (sum(h.x0) - sum(h.x0[from:to]))
-		square += (left - capacity) * (left - capacity)
+	// Jackknife: leave out one block at a time. The spread of the resulting ratios gives the standard error.
+	squares := 0.0
+	for b := range jackknifeBlocks {
+		from, to := b*len(h.load)/jackknifeBlocks, (b+1)*len(h.load)/jackknifeBlocks
+		without := (sum(h.load) - sum(h.load[from:to])) / (sum(h.x0) - sum(h.x0[from:to]))
+		squares += (without - capacity) * (without - capacity)
 	}
-	return capacity, max(math.Sqrt(square*(blocks-1)/blocks), leastOwnError*capacity), true
+	return capacity, max(math.Sqrt(squares*(jackknifeBlocks-1)/jackknifeBlocks), minOwnError*capacity), true
 }
 
-// figures are the mean capacity of hosts and how far they differ.
-type figures struct{ mean, spread float64 }
+// capacityPrior is the mean capacity of a group of hosts and their standard deviation.
+type capacityPrior struct{ mean, spread float64 }
 
-// Hosts is what is known, in order of the ids.
-func (e *Estimator) Hosts() (out []Host) {
-	kinds, all := e.kinds()
-	for _, id := range keys(e.hosts) {
+// Hosts returns the hosts with their estimated capacities, in order of their ids.
+func (e *CapacityEstimator) Hosts() (out []Host) {
+	kinds, other := e.kindPriors()
+	for _, id := range sortedKeys(e.hosts) {
 		h := e.hosts[id]
-		k, known := kinds[h.kind]
+		prior, known := kinds[h.kind]
 		if !known {
-			k = all
+			prior = other
 		}
-		capacity, off := k.mean, k.spread
-		if c, err, ok := h.own(); ok {
-			a, b := 1/(err*err), 1/(k.spread*k.spread)
-			capacity, off = (a*c+b*k.mean)/(a+b), math.Sqrt(1/(a+b))
+		capacity, stdErr := prior.mean, prior.spread
+		if ownCapacity, ownErr, ok := h.ownEstimate(); ok {
+			ownPrecision, kindPrecision := 1/(ownErr*ownErr), 1/(prior.spread*prior.spread)
+			capacity = (ownPrecision*ownCapacity + kindPrecision*prior.mean) / (ownPrecision + kindPrecision)
+			stdErr = math.Sqrt(1 / (ownPrecision + kindPrecision))
 		}
-		out = append(out, Host{ID: id, Room: h.room, Kind: h.kind, Capacity: capacity, CapacityError: min(off/capacity, mostError)})
+		out = append(out, Host{ID: id, Room: h.room, Kind: h.kind, Capacity: capacity, CapacityError: min(stdErr/capacity, maxCapacityError)})
 	}
 	return out
 }
 
-// kinds are the figures of each kind with a host of which enough is known, and of a host of any other kind.
-func (e *Estimator) kinds() (kinds map[string]figures, all figures) {
-	kinds, all = map[string]figures{}, unknownHost
+// kindPriors returns the prior of each kind with at least one host whose own estimate is known, and the prior for hosts
+// of other kinds.
+func (e *CapacityEstimator) kindPriors() (kinds map[string]capacityPrior, other capacityPrior) {
+	kinds, other = map[string]capacityPrior{}, defaultPrior
 	var means []float64
 	for kind, ids := range e.byKind() {
-		if m, s, ok := e.of(ids); ok {
-			kinds[kind] = figures{m, s}
-			means = append(means, m)
+		if mean, spread, ok := e.kindPrior(ids); ok {
+			kinds[kind] = capacityPrior{mean, spread}
+			means = append(means, mean)
 		}
 	}
 	if len(means) > 0 {
 		slices.Sort(means)
 		n := float64(len(means))
-		all = figures{sum(means) / n, spreadOfKinds * sum(means) / n}
+		other = capacityPrior{sum(means) / n, unknownKindSpread * sum(means) / n}
 	}
-	return kinds, all
+	return kinds, other
 }
 
-func (e *Estimator) byKind() map[string][]string {
+func (e *CapacityEstimator) byKind() map[string][]string {
 	out := map[string][]string{}
-	for _, id := range keys(e.hosts) {
+	for _, id := range sortedKeys(e.hosts) {
 		out[e.hosts[id].kind] = append(out[e.hosts[id].kind], id)
 	}
 	return out
 }
 
-// of is the mean of hosts and how far they differ beyond their errors; at the least by a twentieth.
-func (e *Estimator) of(ids []string) (mean, spread float64, ok bool) {
-	var c, errs []float64
+// kindPrior is the mean capacity of hosts of one kind, and their spread beyond the errors of the estimates; the spread
+// is at least a twentieth of the mean.
+func (e *CapacityEstimator) kindPrior(ids []string) (mean, spread float64, ok bool) {
+	var capacities, variances []float64
 	for _, id := range ids {
-		if x, err, ok := e.hosts[id].own(); ok {
-			c, errs = append(c, x), append(errs, err*err)
+		if x, ownErr, ok := e.hosts[id].ownEstimate(); ok {
+			capacities, variances = append(capacities, x), append(variances, ownErr*ownErr)
 		}
 	}
-	if len(c) == 0 {
+	if len(capacities) == 0 {
 		return 0, 0, false
 	}
-	mean = sum(c) / float64(len(c))
-	square := 0.0
-	for _, x := range c {
-		square += (x - mean) * (x - mean)
+	mean = sum(capacities) / float64(len(capacities))
+	squares := 0.0
+	for _, x := range capacities {
+		squares += (x - mean) * (x - mean)
 	}
-	if len(c) > 1 {
-		square = square/float64(len(c)-1) - sum(errs)/float64(len(errs))
+	if len(capacities) > 1 {
+		squares = squares/float64(len(capacities)-1) - sum(variances)/float64(len(variances))
 	} else {
-		square = spreadOfOne * spreadOfOne * mean * mean // one alone
+		squares = singleHostSpread * singleHostSpread * mean * mean
 	}
-	return mean, math.Sqrt(max(square, leastSpread*leastSpread*mean*mean)), true
+	return mean, math.Sqrt(max(squares, minKindSpread*minKindSpread*mean*mean)), true
 }
--- a/internal/placement/fallback.go
+++ b/internal/placement/fallback.go
@@ -6,35 +6,35 @@
 	"tealtiller/internal/cells"
 )
 
-// fallback is the best of three placements that need no search: the plan in force repaired, what fits in its room with
-// the rest in others, and all hosts alike.
+// fallback is the best of three placements that need no search: the repaired plan in force, as much as fits in its own
+// room with the rest elsewhere, and hosts chosen by key.
 func (s *search) fallback() (Method, []int32) {
-	best, method := s.equal(), Equal
-	total := s.value(best).Total
-	try := func(way Method, at []int32) {
-		if v := s.value(at).Total; v >= total {
-			best, method, total = at, way, v
+	best, method := s.hashPlacement(), Equal
+	total := s.valueOf(best).Total
+	consider := func(candidate Method, hostOf []int32) {
+		if v := s.valueOf(hostOf).Total; v >= total {
+			best, method, total = hostOf, candidate, v
 		}
 	}
-	free := make([]float64, len(s.rooms))
-	try(Overflow, s.greedy(free, false, false))
-	if slices.ContainsFunc(s.pieces, func(c piece) bool { return c.was != none }) {
-		try(Repaired, s.greedy(free, false, true))
+	zeroPrices := make([]float64, len(s.rooms))
+	consider(Overflow, s.greedy(zeroPrices, false, false))
+	if slices.ContainsFunc(s.pieces, func(c piece) bool { return c.current != none }) {
+		consider(Repaired, s.greedy(zeroPrices, false, true))
 	}
 	return method, best
 }
 
-// equal assigns flights by their keys alone.
-func (s *search) equal() []int32 {
-	at := make([]int32, len(s.pieces))
-	for n := range s.flight {
-		best := none
-		if len(s.hosts) > 0 {
-			best = int(cells.SplitMix64(s.fleet.Flights[s.flights[n]].ID) % uint64(len(s.hosts)))
+// hashPlacement assigns flights to hosts by their keys alone.
+func (s *search) hashPlacement() []int32 {
+	hostOf := make([]int32, len(s.pieces))
+	for n := range s.flightLoad {
+		host := none
+		if len(s.hostIndexes) > 0 {
+			host = int(cells.SplitMix64(s.fleet.Flights[s.flightIndexes[n]].ID) % uint64(len(s.hostIndexes)))
 		}
-		for i := s.from[n]; i < s.from[n+1]; i++ {
-			at[i] = int32(best)
+		for i := s.firstPiece[n]; i < s.firstPiece[n+1]; i++ {
+			hostOf[i] = int32(host)
 		}
 	}
-	return at
+	return hostOf
 }
--- a/internal/placement/flow.go
+++ b/internal/placement/flow.go
@@ -10,45 +10,48 @@
 	"gonum.org/v1/gonum/optimize/convex/lp"
 )
 
-// Demand is what arrives in a room, by how much a load of it is worth.
+// Demand is load that arrives in a room and has the same worth per load.
 type Demand struct {
 	Room        string
-	Worth, Load float64 // worth of a load; loads
+	Worth, Load float64 // worth per load, and the load
 }
 
-// Flow is how much of what arrives in a room is served in each.
+// Flow is how much of the load that arrives in each room is served in each room.
 type Flow struct {
-	Rooms []string
-	Load  [][]float64 // from, to
-	Value float64
-	By    string // "programme" or "overflow"
+	Rooms    []string
+	Load     [][]float64 // by room of arrival and room of service
+	Value    float64
+	SolvedBy string // "programme" or "overflow"
 }
 
-var errProgramme = errors.New("the programme has no answer")
+var errNoSolution = errors.New("linear programme has no solution")
 
-// mostProgramme is how many rooms a programme is made for: its table grows with the cube of their number.
-const mostProgramme = 8
+// maxProgrammeRooms is the number of rooms up to which the linear programme is used: the size of its table grows with
+// the cube of their number.
+const maxProgrammeRooms = 8
 
-// flows shares out demand over rooms that serve so much: by a linear programme, or, where that fails or figures are too
-// unlike for its arithmetic, as much as fits in its room and the rest where there is space, the worthiest first.
-func flows(rooms []string, serve []float64, demand []Demand, crossing float64) Flow {
+// solveFlow distributes demand over rooms with the given usable capacities. It solves a linear programme. Where that
+// fails, or the values differ too much in size for its arithmetic, as much as fits is served in its own room and the
+// rest where there is capacity, the highest worth first.
+func solveFlow(rooms []string, usable []float64, demand []Demand, crossing float64) Flow {
 	demand = slices.Clone(demand)
 	slices.SortFunc(demand, func(a, b Demand) int { return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.Room, b.Room)) })
-	plain := spill(rooms, serve, demand, crossing)
-	if len(rooms) <= mostProgramme {
-		if f, err := programme(rooms, serve, demand, crossing); err == nil && f.Value >= plain.Value-tolerance*math.Abs(plain.Value) {
+	overflow := overflowFlow(rooms, usable, demand, crossing)
+	if len(rooms) <= maxProgrammeRooms {
+		if f, err := linearProgramme(rooms, usable, demand, crossing); err == nil && f.Value >= overflow.Value-tolerance*math.Abs(overflow.Value) {
 			return f
 		}
 	}
-	return plain
+	return overflow
 }
 
-// programme is the linear programme: the loads of each demand served in each room, at most the demand, at most what
-// the room serves. All figures are scaled to the whole demand, so that a fleet of any size looks alike.
-func programme(rooms []string, serve []float64, demand []Demand, crossing float64) (f Flow, err error) {
-	defer func() { // the library panics at some that it finds singular
+// linearProgramme solves for the load of each demand that is served in each room, limited by the demand and by the
+// usable capacity of the room. All values are scaled by the total demand, so that the numbers do not depend on the size
+// of the fleet.
+func linearProgramme(rooms []string, usable []float64, demand []Demand, crossing float64) (f Flow, err error) {
+	defer func() { // the library panics on some singular matrices
 		if recover() != nil {
-			err = errProgramme
+			err = errNoSolution
 		}
 	}()
 	scale, worth := 0.0, 0.0
@@ -56,7 +59,7 @@
 		scale, worth = scale+d.Load, max(worth, d.Worth)
 	}
 	if scale <= 0 || worth <= 0 || len(rooms) == 0 {
-		return f, errProgramme
+		return f, errNoSolution
 	}
 	n, r := len(demand), len(rooms)
 	columns, rows := n*r+n+r, n+r
@@ -74,9 +77,9 @@
 		b[i] = d.Load / scale
 	}
 	for s := range rooms {
-		b[n+s] = min(serve[s]/scale, 2) // more than all demand binds nothing
+		b[n+s] = min(usable[s]/scale, 2) // a capacity above the total demand is no constraint
 	}
-	for k := range rows { // the slacks are a place to start from
+	for k := range rows { // the slack variables are the initial basis
 		a.Set(k, n*r+k, 1)
 		basis[k] = n*r + k
 	}
@@ -84,18 +87,18 @@
 	if err != nil {
 		return f, err
 	}
-	f = Flow{Rooms: rooms, Load: square(r), By: "programme"}
-	left := slices.Clone(serve)
+	f = Flow{Rooms: rooms, Load: squareMatrix(r), SolvedBy: "programme"}
+	free := slices.Clone(usable)
 	for i, d := range demand {
-		from, asked := slices.Index(rooms, d.Room), d.Load
+		from, unserved := slices.Index(rooms, d.Room), d.Load
 		for s := range rooms {
 			load := x[i*r+s] * scale
 			if load < -1e-6*scale || math.IsNaN(load) {
-				return Flow{}, errProgramme
+				return Flow{}, errNoSolution
 			}
-			// what rounding has over the limits is cut: nothing infeasible leaves here
-			load = max(min(load, asked, left[s]), 0)
-			asked, left[s] = asked-load, left[s]-load
+			// Rounding may exceed the limits: cut the excess, so that the result is feasible.
+			load = max(min(load, unserved, free[s]), 0)
+			unserved, free[s] = unserved-load, free[s]-load
 			f.add(from, s, load, d, crossing)
 		}
 	}
@@ -110,33 +113,34 @@
 	}
 }
 
-// spill serves as much of each demand in its room as fits there, and shares out the rest over the room that is left.
-func spill(rooms []string, serve []float64, demand []Demand, crossing float64) Flow {
-	f, left := Flow{Rooms: rooms, Load: square(len(rooms)), By: "overflow"}, slices.Clone(serve)
-	rest := make([]float64, len(demand))
+// overflowFlow serves as much of each demand in its own room as fits there, and distributes the rest over the free
+// capacity of all rooms.
+func overflowFlow(rooms []string, usable []float64, demand []Demand, crossing float64) Flow {
+	f, free := Flow{Rooms: rooms, Load: squareMatrix(len(rooms)), SolvedBy: "overflow"}, slices.Clone(usable)
+	unserved := make([]float64, len(demand))
 	for i, d := range demand {
 		r := slices.Index(rooms, d.Room)
-		load := min(d.Load, left[r])
-		left[r] -= load
-		rest[i] = d.Load - load
+		load := min(d.Load, free[r])
+		free[r] -= load
+		unserved[i] = d.Load - load
 		f.add(r, r, load, d, crossing)
 	}
 	for i, d := range demand {
-		free := sum(left)
-		if rest[i] <= 0 || free <= 0 {
+		totalFree := sum(free)
+		if unserved[i] <= 0 || totalFree <= 0 {
 			continue
 		}
-		share := min(rest[i]/free, 1)
-		for s := range left {
-			load := left[s] * share
-			left[s] -= load
+		share := min(unserved[i]/totalFree, 1)
+		for s := range free {
+			load := free[s] * share
+			free[s] -= load
 			f.add(slices.Index(rooms, d.Room), s, load, d, crossing)
 		}
 	}
 	return f
 }
 
-func square(n int) [][]float64 {
+func squareMatrix(n int) [][]float64 {
 	out := make([][]float64, n)
 	for i := range out {
 		out[i] = make([]float64, n)
--- a/internal/placement/packing.go
+++ b/internal/placement/packing.go
@@ -5,78 +5,79 @@
 	"slices"
 )
 
-// roomiest is the hosts of a room as a heap, the one with the most left on top.
-type roomiest struct {
+// hostHeap is a heap of the hosts of a room, with the most free load on top.
+type hostHeap struct {
 	hosts []int
-	left  []float64
+	free  []float64
 }
 
-func (r *roomiest) Len() int { return len(r.hosts) }
-func (r *roomiest) Less(i, j int) bool {
+func (r *hostHeap) Len() int { return len(r.hosts) }
+func (r *hostHeap) Less(i, j int) bool {
 	a, b := r.hosts[i], r.hosts[j]
-	return r.left[a] > r.left[b] || r.left[a] == r.left[b] && a < b
+	return r.free[a] > r.free[b] || r.free[a] == r.free[b] && a < b
 }
-func (r *roomiest) Swap(i, j int) { r.hosts[i], r.hosts[j] = r.hosts[j], r.hosts[i] }
-func (r *roomiest) Push(any)      {}
-func (r *roomiest) Pop() any      { return nil }
+func (r *hostHeap) Swap(i, j int) { r.hosts[i], r.hosts[j] = r.hosts[j], r.hosts[i] }
+func (r *hostHeap) Push(any)      {}
+func (r *hostHeap) Pop() any      { return nil }
 
 // packing is a placement under construction.
 type packing struct {
 	*problem
-	price []float64
-	left  []float64
-	rooms []*roomiest
-	at    []int32
+	dualPrice []float64 // of each room
+	free      []float64 // load that still fits on each host
+	roomHeaps []*hostHeap
+	hostOf    []int32
 }
 
-// mostCompared is the most hosts of a room that are all compared to find the fullest that still can take a load.
-const mostCompared = 64
+// maxBestFitHosts is the number of hosts in a room up to which all are compared to find the best fit.
+const maxBestFitHosts = 64
 
-func (p *problem) pack(price []float64) *packing {
-	k := &packing{problem: p, price: price, left: slices.Clone(p.serves), at: p.nowhere()}
-	for _, hosts := range p.byRoom {
-		r := &roomiest{slices.Clone(hosts), k.left}
+func (p *problem) newPacking(dualPrice []float64) *packing {
+	k := &packing{problem: p, dualPrice: dualPrice, free: slices.Clone(p.usable), hostOf: p.emptyPlacement()}
+	for _, hosts := range p.hostsByRoom {
+		r := &hostHeap{slices.Clone(hosts), k.free}
 		heap.Init(r)
-		k.rooms = append(k.rooms, r)
+		k.roomHeaps = append(k.roomHeaps, r)
 	}
 	return k
 }
 
-// nowhere is the placement that places nothing.
-func (p *problem) nowhere() []int32 {
-	at := make([]int32, len(p.pieces))
-	for i := range at {
-		at[i] = none
+// emptyPlacement is the placement in which no piece has a host.
+func (p *problem) emptyPlacement() []int32 {
+	hostOf := make([]int32, len(p.pieces))
+	for i := range hostOf {
+		hostOf[i] = none
 	}
-	return at
+	return hostOf
 }
 
-// pick is the host of a room that is to take so much: the roomiest, or where tight the fullest that still can.
-func (k *packing) pick(r int, load float64, tight bool) int {
-	hosts := k.rooms[r].hosts
+// pickHost is the host of a room for a load: the one with the most free load or, with bestFit, the one with the least
+// free load that can still take it.
+func (k *packing) pickHost(r int, load float64, bestFit bool) int {
+	hosts := k.roomHeaps[r].hosts
 	if len(hosts) == 0 {
 		return none
 	}
 	best := hosts[0]
-	if !tight || len(hosts) > mostCompared {
+	if !bestFit || len(hosts) > maxBestFitHosts {
 		return best
 	}
 	for _, h := range hosts {
-		if need := load + k.over[h]; k.left[h] >= need && (k.left[best] < need || k.left[h] < k.left[best]) {
+		if need := load + k.overhead[h]; k.free[h] >= need && (k.free[best] < need || k.free[h] < k.free[best]) {
 			best = h
 		}
 	}
 	return best
 }
 
-// put places pieces of one flight on a host.
-func (k *packing) put(h int, pieces ...int) {
-	k.left[h] -= k.over[h]
+// assign places pieces of one flight on a host.
+func (k *packing) assign(h int, pieces ...int) {
+	k.free[h] -= k.overhead[h]
 	for _, i := range pieces {
-		k.at[i] = int32(h)
-		k.left[h] -= k.pieces[i].load
+		k.hostOf[i] = int32(h)
+		k.free[h] -= k.pieces[i].load
 	}
-	r := k.rooms[k.room[h]]
+	r := k.roomHeaps[k.hostRoom[h]]
 	if r.hosts[0] == h {
 		heap.Fix(r, 0)
 	} else {
@@ -84,106 +85,106 @@
 	}
 }
 
-func (k *packing) load(pieces []int) (load float64) {
+func (k *packing) pieceLoad(pieces []int) (load float64) {
 	for _, i := range pieces {
 		load += k.pieces[i].load
 	}
 	return load
 }
 
-// brings is what pieces are worth on a host that has so much left, at the price of what they take.
-func (k *packing) brings(h int, pieces ...int) float64 {
-	load, sum := k.load(pieces), 0.0
+// netGain is the gain of pieces on a host, as far as they fit, less the price of the load that they take.
+func (k *packing) netGain(h int, pieces ...int) float64 {
+	load, gain := k.pieceLoad(pieces), 0.0
 	for _, i := range pieces {
-		sum += k.gain(&k.pieces[i], h)
+		gain += k.gain(&k.pieces[i], h)
 	}
-	left := max(k.left[h]-k.over[h], 0)
+	free := max(k.free[h]-k.overhead[h], 0)
 	share := 1.0
-	if load > left && load > 0 {
-		share = left / load
+	if load > free && load > 0 {
+		share = free / load
 	}
-	return share*(sum-k.price[k.room[h]]*load) - k.over[h]*(k.waste+k.price[k.room[h]])
+	return share*(gain-k.dualPrice[k.hostRoom[h]]*load) - k.overhead[h]*(k.wastePerLoad+k.dualPrice[k.hostRoom[h]])
 }
 
-// best is the host where pieces bring the most, and how much; none where they bring nothing.
-func (k *packing) best(tight bool, pieces ...int) (brings float64, at int) {
-	load := k.load(pieces)
-	at = none
-	for r := range k.rooms {
-		if h := k.pick(r, load, tight); h != none {
-			if b := k.brings(h, pieces...); b > brings {
-				brings, at = b, h
+// bestHost returns the host on which pieces have the highest net gain, and the gain; none if no gain is above 0.
+func (k *packing) bestHost(bestFit bool, pieces ...int) (gain float64, host int) {
+	load := k.pieceLoad(pieces)
+	host = none
+	for r := range k.roomHeaps {
+		if h := k.pickHost(r, load, bestFit); h != none {
+			if g := k.netGain(h, pieces...); g > gain {
+				gain, host = g, h
 			}
 		}
 	}
-	return brings, at
+	return gain, host
 }
 
-// keep places flights where the plan in force has them, as far as their hosts are there.
-func (k *packing) keep() {
-	for n := range k.flight {
-		pieces := k.piecesOf(n)
-		if len(pieces) == 0 || k.pieces[pieces[0]].was == none {
+// keepCurrent places flights where the plan in force has them, if the host still exists.
+func (k *packing) keepCurrent() {
+	for n := range k.flightLoad {
+		pieces := k.flightPieces(n)
+		if len(pieces) == 0 || k.pieces[pieces[0]].current == none {
 			continue
 		}
-		was := k.pieces[pieces[0]].was
+		current := k.pieces[pieces[0]].current
 		for _, i := range pieces {
-			k.at[i] = int32(was)
-			k.left[was] -= k.pieces[i].load
+			k.hostOf[i] = int32(current)
+			k.free[current] -= k.pieces[i].load
 		}
-		k.left[was] -= k.over[was]
+		k.free[current] -= k.overhead[current]
 	}
-	for _, r := range k.rooms {
+	for _, r := range k.roomHeaps {
 		heap.Init(r)
 	}
 }
 
-// piecesOf is the indexes of a flight's pieces.
-func (p *problem) piecesOf(n int) []int {
-	out := make([]int, 0, p.from[n+1]-p.from[n])
-	for i := p.from[n]; i < p.from[n+1]; i++ {
+// flightPieces returns the indexes of a flight's pieces.
+func (p *problem) flightPieces(n int) []int {
+	out := make([]int, 0, p.firstPiece[n+1]-p.firstPiece[n])
+	for i := p.firstPiece[n]; i < p.firstPiece[n+1]; i++ {
 		out = append(out, i)
 	}
 	return out
 }
 
-// place places the pieces of one flight, as a whole or apart, whichever brings more.
-func (k *packing) place(pieces []int, tight bool) {
-	whole, at := k.best(tight, pieces...)
+// placeFlight places the pieces of one flight together or separately, whichever has the higher gain.
+func (k *packing) placeFlight(pieces []int, bestFit bool) {
+	together, host := k.bestHost(bestFit, pieces...)
 	apart := 0.0
 	if len(pieces) > 1 {
 		for _, i := range pieces {
-			b, _ := k.best(tight, i)
-			apart += b
+			gain, _ := k.bestHost(bestFit, i)
+			apart += gain
 		}
 	}
 	switch {
-	case len(pieces) > 1 && apart > whole || len(pieces) > len(k.problem.rooms):
-		for _, i := range pieces { // anew: what went before may have taken the room
-			if _, at := k.best(tight, i); at != none {
-				k.put(at, i)
+	case len(pieces) > 1 && apart > together || len(pieces) > len(k.problem.rooms):
+		for _, i := range pieces { // choose again, as the pieces before may have filled the host
+			if _, host := k.bestHost(bestFit, i); host != none {
+				k.assign(host, i)
 			}
 		}
-	case at != none:
-		k.put(at, pieces...)
+	case host != none:
+		k.assign(host, pieces...)
 	}
 }
 
-// greedy places the largest flights first, each as a whole in the room, or its parts in the rooms, where they bring
-// the most at the prices of the bound.
+// greedy places the largest flights first, each as a whole, or its pieces separately, where the net gain at the dual
+// prices is highest.
 //
-// Where asked to keep, flights that the plan in force has on a host that is there stay on it.
-func (s *search) greedy(price []float64, tight, keep bool) []int32 {
-	k := s.pack(price)
-	if keep {
-		k.keep()
-	}
-	for n := range s.flight {
-		pieces := s.piecesOf(n)
+// With keepCurrent, flights stay where the plan in force has them, if the host still exists.
+func (s *search) greedy(dualPrice []float64, bestFit, keepCurrent bool) []int32 {
+	k := s.newPacking(dualPrice)
+	if keepCurrent {
+		k.keepCurrent()
+	}
+	for n := range s.flightLoad {
+		pieces := s.flightPieces(n)
 		s.steps++
-		if len(pieces) > 0 && k.at[pieces[0]] == none {
-			k.place(pieces, tight)
+		if len(pieces) > 0 && k.hostOf[pieces[0]] == none {
+			k.placeFlight(pieces, bestFit)
 		}
 	}
-	return k.at
+	return k.hostOf
 }
--- a/internal/placement/placement.go
+++ b/internal/placement/placement.go
@@ -1,78 +1,81 @@
-// Package placement works out ahead where flights should be placed, from what endpoints can do, the rooms in which clients
-// arrive, and what it costs to cross rooms, to spread a flight and to move it. It owns the model of fleet and demand
-// (Fleet), the objective (Value), the solver with its bound (Solve), the weights that follow (Shares), the plan that
-// balancers read (Plan) and what is learned of capacity from a running fleet (Estimator).
+// Package placement plans where flights should be placed, from the capacities of the hosts, the rooms in which clients
+// arrive, and the costs of crossing rooms, of spreading a flight over several hosts and of moving it. It owns the model
+// of fleet and demand (Fleet), the objective (Value), the solver with its upper bound (Solve), the flow between rooms
+// that weights follow from (RoomFlow), the plan that balancers read (Plan) and the estimate of capacities from a
+// running fleet (CapacityEstimator).
 //
-// It promises: the same input and the same number of steps give the same answer on any machine; an answer tells what
-// it is worth, by which method it was found, and a bound that no placement can be over; what it calls feasible serves
-// all demand within what every host is said to serve. It is pure: no input or output, no clock, no goroutine; who
-// wants to stop it early passes a question in.
+// The same input and the same number of steps give the same solution on any machine. A solution states its value, the
+// method by which it was found, and an upper bound on the value of any placement. A solution that is called feasible
+// serves all demand within the usable capacity of every host. The package is pure: no input or output, no clock, no
+// goroutines. A caller that wants to stop the search early passes a function that is asked.
 package placement
 
-// Fleet is what a plan is made for. Loads are counted in mean connection loads, worth in worth a second.
+// Fleet is the input of a plan. Loads are in units of the load of a mean connection, worth is per second.
 type Fleet struct {
 	Hosts   []Host   `json:"hosts"`
 	Flights []Flight `json:"flights"`
 	Prices  Prices   `json:"prices"`
 }
 
-// Host is an endpoint, or a cell of them that flights are placed in as one.
+// Host is an endpoint, or a cell of endpoints in which flights are placed as if it were one host.
 type Host struct {
 	ID             string  `json:"id"`
 	Room           string  `json:"room"`
 	Kind           string  `json:"kind,omitempty"`
-	Capacity       float64 `json:"capacity"`         // loads that it can do when warm
-	CapacityError  float64 `json:"error,omitempty"`  // by how much Capacity may be off, as a share of it (one standard error)
-	WarmShare      float64 `json:"warm,omitempty"`   // share of Capacity that it has over the plan's time; 0 means all
-	HostsPerFlight float64 `json:"spread,omitempty"` // for a cell: on how many hosts a flight in it is placed; 0 means one
+	Capacity       float64 `json:"capacity"`         // in loads, when warm
+	CapacityError  float64 `json:"error,omitempty"`  // standard error of Capacity, as a share of it
+	WarmShare      float64 `json:"warm,omitempty"`   // share of Capacity available over the plan's time; 0 means all
+	HostsPerFlight float64 `json:"spread,omitempty"` // for a cell: number of hosts over which a flight in it is spread; 0 means one
 }
 
-// Flight is connections that cost extra on each host that holds a part of them.
+// Flight is a group of connections that causes extra load on each host that holds some of them.
 type Flight struct {
-	ID          uint64 `json:"id"` // the key that clients tell
+	ID          uint64 `json:"id"` // the key that clients send
 	Carrier     string `json:"carrier,omitempty"`
 	Parts       []Part `json:"parts"`
-	CurrentHost string `json:"was,omitempty"` // the host or cell that the plan in force has it on
+	CurrentHost string `json:"was,omitempty"` // the host or cell on which the plan in force places it
 }
 
-// Part is what of a flight arrives in one room.
+// Part is the demand of a flight that arrives in one room.
 type Part struct {
 	Room  string  `json:"room"`
 	Load  float64 `json:"load"`
-	Worth float64 `json:"worth"` // a second, all its connections together
+	Worth float64 `json:"worth"` // per second, of all its connections together
 }
 
-// Prices are what things cost. Shares are of the worth of what they happen to.
+// Prices are the costs in the objective. Shares are of the worth of the connections concerned.
 type Prices struct {
-	Crossing        float64 `json:"crossing"` // share of worth, for connections served in another room than they arrive in
-	PerHostOverhead float64 `json:"piece"`    // loads that each host holding a part of a flight pays
-	Waste           float64 `json:"waste"`    // share of the mean worth of a load, for each load of Piece paid beyond a flight's first host
-	Move            float64 `json:"move"`     // share of worth, for what does not stay where the plan in force has it
-	MaxUtilisation  float64 `json:"fill"`     // share of what a host can do at which messages still come within the aims
-	CautionErrors   float64 `json:"caution"`  // standard errors by which capacities are taken lower
+	Crossing        float64 `json:"crossing"` // share of worth, for connections served in another room than the one they arrive in
+	PerHostOverhead float64 `json:"piece"`    // in loads, on each host that holds a part of a flight
+	Waste           float64 `json:"waste"`    // share of the mean worth of a load, for each load of overhead beyond a flight's first host
+	Move            float64 `json:"move"`     // share of worth, for what does not stay where the plan in force places it
+	MaxUtilisation  float64 `json:"fill"`     // share of its capacity up to which a host answers messages within their latency targets
+	CautionErrors   float64 `json:"caution"`  // number of standard errors by which capacities are reduced
 }
 
-// DefaultPrices are the operators' prices: 10 points for each request crossing once, 23 for as much work wasted as asked for,
-// 3.1 for each client moved once, 3 loads for each host with a part of a flight. A message at an idle host takes 4 to
-// 8 ms and over what is left of it when loaded, so 50 ms is kept to about nine tenths.
+// DefaultPrices returns the operators' prices: 10 points if each request crosses rooms once, 23 if as much work is
+// wasted as is asked for, 3.1 if each client is moved once, and 3 loads on each host with a part of a flight. A message
+// takes 4 to 8 ms at an idle host, and that time divided by the free share of the host under load, so the target of 50
+// ms holds up to a utilisation of about nine tenths.
 func DefaultPrices() Prices {
 	return Prices{Crossing: 0.10, PerHostOverhead: 3, Waste: 0.23, Move: 0.031, MaxUtilisation: 0.9, CautionErrors: 1}
 }
 
-// leastTrust is the least share of a capacity that is counted on, however uncertain it is.
-const leastTrust = 0.1
+// minCapacityShare is the least share of a capacity that is relied on, however uncertain the capacity is.
+const minCapacityShare = 0.1
 
-// UsableCapacity is how many loads a host serves within the aims.
+// UsableCapacity returns the number of loads that a host serves within the latency targets.
 func (h *Host) UsableCapacity(p *Prices) float64 {
-	return h.present() * p.MaxUtilisation * max(1-p.CautionErrors*h.CapacityError, leastTrust)
+	return h.expectedCapacity() * p.MaxUtilisation * max(1-p.CautionErrors*h.CapacityError, minCapacityShare)
 }
 
-// present is the capacity that a host has over the plan's time.
-func (h *Host) present() float64 {
+// expectedCapacity is the capacity of a host over the plan's time, which is less than Capacity for a host that is cold
+// at first.
+func (h *Host) expectedCapacity() float64 {
 	if h.WarmShare == 0 {
 		return h.Capacity
 	}
 	return h.Capacity * h.WarmShare
 }
 
-func (h *Host) spread() float64 { return max(h.HostsPerFlight, 1) }
+func (h *Host) hostsPerFlight() float64 { return max(h.HostsPerFlight, 1) }
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -12,23 +12,23 @@
 	"pgregory.net/rapid"
 )
 
-// The same cases at each run; -rapid.seed=0 looks for others.
+// The seed is fixed, so that each run tests the same cases; -rapid.seed=0 draws others.
 func init() { _ = flag.Set("rapid.seed", "1") }
 
-var steps = SearchLimit{MaxSteps: 20_000, Seed: 1}
+var testLimit = SearchLimit{MaxSteps: 20_000, Seed: 1}
 
-func fleets(t *rapid.T) *Fleet {
+func drawFleet(t *rapid.T) *Fleet {
 	f := &Fleet{Prices: DefaultPrices()}
 	rooms := []string{"a", "b", "c"}[:rapid.IntRange(1, 3).Draw(t, "rooms")]
-	figure := rapid.Float64Range(0, 60)
+	amount := rapid.Float64Range(0, 60)
 	for i := range rapid.IntRange(1, 6).Draw(t, "hosts") {
-		f.Hosts = append(f.Hosts, Host{ID: fmt.Sprintf("h%d", i), Room: rapid.SampledFrom(rooms).Draw(t, "room"), Capacity: figure.Draw(t, "capacity")})
+		f.Hosts = append(f.Hosts, Host{ID: fmt.Sprintf("h%d", i), Room: rapid.SampledFrom(rooms).Draw(t, "room"), Capacity: amount.Draw(t, "capacity")})
 	}
 	for i := range rapid.IntRange(0, 8).Draw(t, "flights") {
 		fl := Flight{ID: uint64(i + 1)}
 		for _, r := range rooms {
 			if rapid.Bool().Draw(t, "there") {
-				load := figure.Draw(t, "load")
+				load := amount.Draw(t, "load")
 				fl.Parts = append(fl.Parts, Part{r, load, load * rapid.Float64Range(0.2, 3).Draw(t, "worth")})
 			}
 		}
@@ -40,16 +40,16 @@
 	return f
 }
 
-// What a host can do more is never of harm: to no optimum, and to no bound. The optimum is known where the solver
-// called it so.
-func TestMoreCapacityIsNeverWorthLess(t *testing.T) {
+// More capacity of a host must lower neither the optimum nor the bound. The optimum is known where the solver reports
+// the method as exact.
+func TestMoreCapacityNeverLowersOptimumOrBound(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := fleets(t)
-		before := Solve(f, steps)
+		f := drawFleet(t)
+		before := Solve(f, testLimit)
 		more := *f
 		more.Hosts = slices.Clone(f.Hosts)
 		more.Hosts[rapid.IntRange(0, len(f.Hosts)-1).Draw(t, "host")].Capacity += rapid.Float64Range(0, 40).Draw(t, "more")
-		after := Solve(&more, steps)
+		after := Solve(&more, testLimit)
 		scale := 1e-6 * max(1, math.Abs(before.Total))
 		assert.GreaterOrEqual(t, after.Bound, before.Total-scale)
 		if after.Method == Exact {
@@ -58,49 +58,49 @@
 	})
 }
 
-// Names tell hosts and rooms apart and nothing more; the order in which things are told tells nothing.
-func TestNamesAndOrderChangeNothing(t *testing.T) {
+// The names of hosts and rooms, and the order of the input, must not affect the value of a solution.
+func TestNamesAndOrderDoNotMatter(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := fleets(t)
-		g := *f
-		g.Hosts, g.Flights = slices.Clone(f.Hosts), slices.Clone(f.Flights)
-		for i := range g.Hosts {
-			g.Hosts[i].ID, g.Hosts[i].Room = "x"+g.Hosts[i].ID, "x"+g.Hosts[i].Room
+		f := drawFleet(t)
+		renamed := *f
+		renamed.Hosts, renamed.Flights = slices.Clone(f.Hosts), slices.Clone(f.Flights)
+		for i := range renamed.Hosts {
+			renamed.Hosts[i].ID, renamed.Hosts[i].Room = "x"+renamed.Hosts[i].ID, "x"+renamed.Hosts[i].Room
 		}
-		for i := range g.Flights {
-			g.Flights[i].Parts = slices.Clone(g.Flights[i].Parts)
-			for j := range g.Flights[i].Parts {
-				g.Flights[i].Parts[j].Room = "x" + g.Flights[i].Parts[j].Room
+		for i := range renamed.Flights {
+			renamed.Flights[i].Parts = slices.Clone(renamed.Flights[i].Parts)
+			for j := range renamed.Flights[i].Parts {
+				renamed.Flights[i].Parts[j].Room = "x" + renamed.Flights[i].Parts[j].Room
 			}
-			if g.Flights[i].CurrentHost != "" {
-				g.Flights[i].CurrentHost = "x" + g.Flights[i].CurrentHost
+			if renamed.Flights[i].CurrentHost != "" {
+				renamed.Flights[i].CurrentHost = "x" + renamed.Flights[i].CurrentHost
 			}
 		}
-		slices.Reverse(g.Hosts)
-		slices.Reverse(g.Flights)
-		a, b := Solve(f, steps), Solve(&g, steps)
+		slices.Reverse(renamed.Hosts)
+		slices.Reverse(renamed.Flights)
+		a, b := Solve(f, testLimit), Solve(&renamed, testLimit)
 		assert.Equal(t, a.Value, b.Value)
 		assert.InDelta(t, a.Bound, b.Bound, 1e-9*max(1, a.Bound))
 	})
 }
 
-// Without any time there is an answer all the same, never worse than all hosts alike, and its bound holds for what the
-// search finds.
-func TestWithoutTimeThereIsAnAnswer(t *testing.T) {
+// A search that is stopped at once must return a solution that is no worse than placement by key, and a bound that
+// holds for what a longer search finds.
+func TestSolveWithoutTimeReturnsValidSolution(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := fleets(t)
+		f := drawFleet(t)
 		quick := Solve(f, SearchLimit{Stop: func() bool { return true }})
-		s := &search{problem: compile(f)}
-		assert.GreaterOrEqual(t, quick.Total, s.value(s.equal()).Total-1e-9)
-		assert.GreaterOrEqual(t, quick.Bound, Solve(f, steps).Total-1e-6)
+		s := &search{problem: newProblem(f)}
+		assert.GreaterOrEqual(t, quick.Total, s.valueOf(s.hashPlacement()).Total-1e-9)
+		assert.GreaterOrEqual(t, quick.Bound, Solve(f, testLimit).Total-1e-6)
 	})
 }
 
-// What is called feasible is: no host over what it serves, nothing left out. What is shed is told.
-func TestFeasibleIsFeasible(t *testing.T) {
+// In a feasible solution no host is over its usable capacity, all demand is placed, and nothing is reported as shed.
+func TestFeasibleSolutionRespectsCapacities(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := fleets(t)
-		a := Solve(f, steps)
+		f := drawFleet(t)
+		a := Solve(f, testLimit)
 		load, held, placed, asked := map[string]float64{}, map[string]int{}, 0.0, 0.0
 		for _, fl := range f.Flights {
 			for _, p := range fl.Parts {
@@ -130,7 +130,7 @@
 	})
 }
 
-func one(capacity float64, loads ...float64) *Fleet {
+func singleHostFleet(capacity float64, loads ...float64) *Fleet {
 	f := &Fleet{Prices: DefaultPrices(), Hosts: []Host{{ID: "h", Room: "a", Capacity: capacity}}}
 	for i, l := range loads {
 		f.Flights = append(f.Flights, Flight{ID: uint64(i), Parts: []Part{{"a", l, l}}})
@@ -138,44 +138,44 @@
 	return f
 }
 
-func TestHardCases(t *testing.T) {
-	nothing := Solve(&Fleet{Prices: DefaultPrices()}, steps)
+func TestEdgeCases(t *testing.T) {
+	nothing := Solve(&Fleet{Prices: DefaultPrices()}, testLimit)
 	assert.True(t, nothing.Feasible)
 	assert.Zero(t, nothing.Total)
 
-	none := one(50, 10)
+	none := singleHostFleet(50, 10)
 	none.Hosts = nil
-	a := Solve(none, steps)
+	a := Solve(none, testLimit)
 	assert.False(t, a.Feasible)
 	assert.Equal(t, 10.0, a.ShedWorth)
 
-	idle := Solve(one(50), steps)
+	idle := Solve(singleHostFleet(50), testLimit)
 	assert.True(t, idle.Feasible)
 
-	draining := Solve(one(0, 10, 10), steps)
+	draining := Solve(singleHostFleet(0, 10, 10), testLimit)
 	assert.False(t, draining.Feasible)
-	assert.InDelta(t, 0, draining.Total, 1e-9, "nothing is placed where it only costs")
+	assert.InDelta(t, 0, draining.Total, 1e-9, "nothing is placed on a host where it only costs")
 
-	for _, scale := range []float64{1e-9, 1e9} { // figures of any size
-		f := one(100*scale, 20*scale, 30*scale)
+	for _, scale := range []float64{1e-9, 1e9} { // the size of the numbers must not matter
+		f := singleHostFleet(100*scale, 20*scale, 30*scale)
 		f.Prices.PerHostOverhead = 3 * scale
-		a := Solve(f, steps)
+		a := Solve(f, testLimit)
 		assert.Equal(t, Exact, a.Method)
 		assert.True(t, a.Feasible)
 		assert.InDelta(t, 50*scale, a.ServedWorth, 1e-9*scale)
 	}
 
-	large := one(50, 200) // a flight larger than any host is cut
+	large := singleHostFleet(50, 200) // a flight that is larger than any host is cut
 	for i := range 9 {
 		large.Hosts = append(large.Hosts, Host{ID: fmt.Sprintf("h%d", i), Room: "a", Capacity: 50})
 	}
-	a = Solve(large, steps)
+	a = Solve(large, testLimit)
 	assert.True(t, a.Feasible)
 	assert.GreaterOrEqual(t, a.FlightHostPairs, 5)
 }
 
-// One room with more traffic than its own hosts carry sends on what does not fit, and no more.
-func TestARoomTooSmallSendsOnTheRest(t *testing.T) {
+// A room with more traffic than its own hosts can serve sends only the excess to another room.
+func TestOverfullRoomSendsOnOnlyTheExcess(t *testing.T) {
 	f := &Fleet{Prices: DefaultPrices()}
 	for i := range 4 {
 		f.Hosts = append(f.Hosts, Host{ID: fmt.Sprint(i), Room: []string{"a", "b"}[i%2], Capacity: 50})
@@ -183,21 +183,22 @@
 	for i := range 12 {
 		f.Flights = append(f.Flights, Flight{ID: uint64(i), Parts: []Part{{"a", 8, 8}}})
 	}
-	a := Solve(f, steps)
+	a := Solve(f, testLimit)
 	require.True(t, a.Feasible)
-	assert.InDelta(t, 32, a.CrossedWorth, 1e-9, "each host takes four flights of 8 and their 3, of its 45")
-	flow := Shares(f)
-	assert.Equal(t, "programme", flow.By)
+	assert.InDelta(t, 32, a.CrossedWorth, 1e-9, "each host takes four flights of 8 with an overhead of 3, out of its 45")
+	flow := RoomFlow(f)
+	assert.Equal(t, "programme", flow.SolvedBy)
 	assert.InDelta(t, 90, flow.Load[0][0], 1e-6)
-	assert.InDelta(t, 78, flow.Load[0][1], 1e-6, "twelve flights of 8 and a pair's 6, but for the 90 that a serves")
-	p := NewPlan(f, a, day, 0, 0)
+	assert.InDelta(t, 78, flow.Load[0][1], 1e-6, "twelve flights of 8, with the overhead of 6 on two hosts, less the 90 that room a serves")
+	p := NewPlan(f, a, created, 0, 0)
 	w := p.RoomWeights["a"]
 	assert.InDelta(t, 90.0/78, w["0"]/w["1"], 1e-6)
-	assert.Greater(t, p.RoomWeights["b"]["0"], 0.0, "nothing arrives in b: its balancers have weights all the same")
+	assert.Greater(t, p.RoomWeights["b"]["0"], 0.0, "nothing arrives in b, but its balancers have weights")
 }
 
-// Programmes with many equal best answers, and with nothing left to choose, are solved or told.
-func TestDegenerateProgrammes(t *testing.T) {
+// Linear programmes with many optimal solutions, or without any freedom of choice, must give a feasible flow that is
+// worth no less than the overflow heuristic.
+func TestDegenerateLinearProgrammes(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
 		n := rapid.IntRange(1, 8).Draw(t, "rooms")
 		rooms, serve, demand := []string{}, []float64{}, []Demand{}
@@ -209,8 +210,8 @@
 				demand = append(demand, Demand{fmt.Sprint(i), rapid.SampledFrom([]float64{0, 1, 1, 2}).Draw(t, "worth"), size.Draw(t, "load")})
 			}
 		}
-		f, s := flows(rooms, serve, demand, 0.1), spill(rooms, serve, demand, 0.1)
-		got, asked := square(n), make([]float64, n)
+		f, s := solveFlow(rooms, serve, demand, 0.1), overflowFlow(rooms, serve, demand, 0.1)
+		got, asked := squareMatrix(n), make([]float64, n)
 		for _, d := range demand {
 			asked[slices.Index(rooms, d.Room)] += d.Load
 		}
@@ -230,42 +231,42 @@
 		for _, d := range demand {
 			scale += d.Load * d.Worth
 		}
-		assert.GreaterOrEqual(t, f.Value, s.Value-1e-6*scale, "the programme is worth no less than the overflow")
+		assert.GreaterOrEqual(t, f.Value, s.Value-1e-6*scale, "the linear programme is worth no less than the overflow")
 	})
 }
 
-// At any prices the bound of a placement that is whole is no less than what it is worth: what branch and bound takes off
-// for places chosen and for full hosts is never too much. A host whose flights alone are over what it serves only loses,
-// and is left out.
-func TestTheBoundHoldsForEveryPlacement(t *testing.T) {
+// At any dual prices, the bound of a complete placement is at least its value: branch and bound must not deduct too
+// much for chosen places and full hosts. Placements with a host whose overhead alone exceeds its capacity are skipped,
+// as such a host only loses.
+func TestBoundHoldsForEveryPlacement(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		f := fleets(t)
-		s := &search{problem: compile(f)}
+		f := drawFleet(t)
+		s := &search{problem: newProblem(f)}
 		d := &dual{problem: s.problem, price: make([]float64, len(s.rooms))}
 		for r := range d.price {
 			d.price[r] = rapid.Float64Range(0, 2).Draw(t, "price")
 		}
-		b := s.brancher(d)
-		bound := d.most(nil)
-		for n := range s.flight {
+		b := s.newBrancher(d)
+		bound := d.bound(nil)
+		for n := range s.flightLoad {
 			if len(b.options[n]) == 0 {
-				t.Skip("too many places to list")
+				t.Skip("too many options to list")
 			}
 			o := rapid.SampledFrom(b.options[n]).Draw(t, "place")
 			bound -= o.loss
-			for c, h := range o.at {
+			for c, h := range o.hosts {
 				if h != none {
-					b.st.shift(change{int32(s.from[n] + c), none, h})
+					b.current.move(pieceMove{int32(s.firstPiece[n] + c), none, h})
 				}
 			}
 		}
-		for h := range s.hosts {
-			if _, det := b.st.host(h, b.st.items[h]); float64(det.pieces)*s.over[h] > s.serves[h] {
-				t.Skip("a host that serves nothing")
+		for h := range s.hostIndexes {
+			if _, detail := b.current.hostValue(h, b.current.piecesOn[h]); float64(detail.flights)*s.overhead[h] > s.usable[h] {
+				t.Skip("a host without capacity beyond its overhead")
 			}
-			bound -= b.settle(h)
+			bound -= b.settleLoss(h)
 		}
-		total := sum(b.st.worths)
+		total := sum(b.current.hostWorth)
 		assert.GreaterOrEqual(t, bound, total-1e-6*max(1, math.Abs(total)))
 	})
 }
--- a/internal/placement/plan.go
+++ b/internal/placement/plan.go
@@ -2,56 +2,57 @@
 
 import "time"
 
-// Plan is what balancers read: weights of the endpoints for the balancers of each room, and the cells of carriers and
-// flights. Two balancers of a room that hold the same file and the same list weigh alike.
+// Plan is what balancers read: weights of the hosts for the balancers of each room, and the cells of carriers and
+// flights. Two balancers of a room with the same plan and the same host list compute the same weights.
 type Plan struct {
 	Version    int       `json:"version"`
 	Created    time.Time `json:"born"`
-	InputsHash string    `json:"inputs"` // hash of the fleet that it was made from
+	InputsHash string    `json:"inputs"` // hash of the fleet from which it was made
 	Method     Method    `json:"method"`
 	Value      float64   `json:"value"`
 	Bound      float64   `json:"bound"`
-	// In full force for Holds after its birth; then back to what discovery tells in steps, over Fades.
-	Holds Span `json:"holds"`
-	Fades Span `json:"fades"`
-	// Weights by the room of the balancer and the id of the host.
+	// The plan is in full force for HoldTime after its creation. Then it gives way to the weights from discovery in
+	// steps, over FadeTime.
+	HoldTime Duration `json:"holds"`
+	FadeTime Duration `json:"fades"`
+	// RoomWeights are the weights by room of the balancer and id of the host.
 	RoomWeights map[string]map[string]float64 `json:"rooms"`
 	Hosts       []PlanHost                    `json:"hosts"`
-	Demand      map[string]float64            `json:"demand"`             // loads that arrive in each room
-	Carriers    map[string]string             `json:"carriers,omitempty"` // the cell of each
-	Flights     map[string]string             `json:"flights,omitempty"`  // the cell of flights, by their keys in hexadecimal
-	ShedDemand  []CarrierShed                 `json:"shed,omitempty"`     // what the fleet cannot serve, the least worth first
+	Demand      map[string]float64            `json:"demand"`             // load that arrives in each room
+	Carriers    map[string]string             `json:"carriers,omitempty"` // cell of each carrier
+	Flights     map[string]string             `json:"flights,omitempty"`  // cell of each flight, by its key in hexadecimal
+	ShedDemand  []CarrierShed                 `json:"shed,omitempty"`     // what the fleet cannot serve, the least worth per load first
 
-	cells map[uint64]string // Flights by key
+	cellByKey map[uint64]string // Flights by parsed key
 }
 
-// PlanHost is what a plan takes a host for.
+// PlanHost is a host as a plan describes it.
 type PlanHost struct {
-	ID     string  `json:"id"`
-	Room   string  `json:"room"`
-	Kind   string  `json:"kind,omitempty"`
-	Serves float64 `json:"serves"` // loads within the aims
+	ID             string  `json:"id"`
+	Room           string  `json:"room"`
+	Kind           string  `json:"kind,omitempty"`
+	UsableCapacity float64 `json:"serves"` // in loads, within the latency targets
 }
 
-// CarrierShed is demand of a carrier that a plan has no place for.
+// CarrierShed is the demand of a carrier that a plan does not place.
 type CarrierShed struct {
 	Carrier string  `json:"carrier"`
 	Load    float64 `json:"load"`
 	Worth   float64 `json:"worth"`
 }
 
-// Span is a length of time, told as 30m or 2h.
-type Span time.Duration
+// Duration is a time.Duration that is written as text, such as 30m or 2h.
+type Duration time.Duration
 
-// MarshalText writes a span.
-func (s Span) MarshalText() ([]byte, error) { return []byte(time.Duration(s).String()), nil }
+// MarshalText implements encoding.TextMarshaler.
+func (d Duration) MarshalText() ([]byte, error) { return []byte(time.Duration(d).String()), nil }
 
-// UnmarshalText reads a span.
-func (s *Span) UnmarshalText(text []byte) error {
-	d, err := time.ParseDuration(string(text))
-	*s = Span(d)
+// UnmarshalText implements encoding.TextUnmarshaler.
+func (d *Duration) UnmarshalText(text []byte) error {
+	parsed, err := time.ParseDuration(string(text))
+	*d = Duration(parsed)
 	return err
 }
 
-// PlanVersion is the one form that is written and read.
+// PlanVersion is the only version of the plan format that is written and read.
 const PlanVersion = 1
--- a/internal/placement/plan_test.go
+++ b/internal/placement/plan_test.go
@@ -17,12 +17,12 @@
 	"tealtiller/policy"
 )
 
-var day = time.Date(2026, 12, 1, 5, 0, 0, 0, time.UTC)
+var created = time.Date(2026, 12, 1, 5, 0, 0, 0, time.UTC)
 
-func at(after time.Duration) time.Duration { return time.Duration(day.Add(after).UnixNano()) }
+func unixTime(after time.Duration) time.Duration { return time.Duration(created.Add(after).UnixNano()) }
 
-// two rooms of three hosts; far more arrives in a than its hosts serve.
-func skewed() (*Fleet, []policy.Server) {
+// skewedFleet has two rooms of three hosts each. Far more demand arrives in room a than its hosts can serve.
+func skewedFleet() (*Fleet, []policy.Server) {
 	f := &Fleet{Prices: DefaultPrices()}
 	var list []policy.Server
 	for i := range 6 {
@@ -36,13 +36,13 @@
 	return f, list
 }
 
-func plan() (*Plan, []policy.Server) {
-	f, list := skewed()
-	return NewPlan(f, Solve(f, steps), day, time.Hour, 8*time.Minute), list
+func skewedPlan() (*Plan, []policy.Server) {
+	f, list := skewedFleet()
+	return NewPlan(f, Solve(f, testLimit), created, time.Hour, 8*time.Minute), list
 }
 
-// share is what of the weights hosts of a room have.
-func share(w map[string]float64, list []policy.Server, room string) float64 {
+// roomShare is the share of the total weight that the hosts of a room have.
+func roomShare(w map[string]float64, list []policy.Server, room string) float64 {
 	in, all := 0.0, 0.0
 	for _, s := range list {
 		all += w[s.ID]
@@ -53,76 +53,76 @@
 	return in / all
 }
 
-func TestWeightsKeepTrafficInItsRoom(t *testing.T) {
-	p, list := plan()
-	assert.Greater(t, share(p.Weigh(at(0), "b", list), list, "b"), 0.98)
-	assert.InDelta(t, 135.0/168, share(p.Weigh(at(0), "a", list), list, "a"), 0.01, "a's 12 flights of 8 and a pair's 6, and the 135 that it serves")
-	for _, w := range p.Weigh(at(0), "b", list) {
-		assert.Greater(t, w, 0.0, "the module takes no weight for 1")
+func TestWeightsKeepTrafficInItsOwnRoom(t *testing.T) {
+	p, list := skewedPlan()
+	assert.Greater(t, roomShare(p.Weights(unixTime(0), "b", list), list, "b"), 0.98)
+	assert.InDelta(t, 135.0/168, roomShare(p.Weights(unixTime(0), "a", list), list, "a"), 0.01, "room a has 12 flights of 8, with the overhead of 6 on two hosts, and serves 135")
+	for _, w := range p.Weights(unixTime(0), "b", list) {
+		assert.Greater(t, w, 0.0, "the ranking treats a weight of 0 as 1")
 	}
-	assert.Equal(t, 1.0, p.Weigh(at(0), "elsewhere", list)["h0"], "a room that the plan does not know")
+	assert.Equal(t, 1.0, p.Weights(unixTime(0), "elsewhere", list)["h0"], "a room that is not in the plan")
 }
 
-func TestAPlanAgesInSteps(t *testing.T) {
-	p, list := plan()
-	was, changes := 2.0, 0
+func TestPlanForceFadesInSteps(t *testing.T) {
+	p, list := skewedPlan()
+	previous, changes := 2.0, 0
 	for now := time.Duration(0); now < 2*time.Hour; now += 10 * time.Second {
-		force, next := p.Force(at(now))
-		assert.LessOrEqual(t, force, was)
-		if force != was {
-			was, changes = force, changes+1
+		force, next := p.Force(unixTime(now))
+		assert.LessOrEqual(t, force, previous)
+		if force != previous {
+			previous, changes = force, changes+1
 		}
 		if next != 0 {
 			again, _ := p.Force(next)
-			assert.Less(t, again, force, "it changes when it says so")
+			assert.Less(t, again, force, "the force changes at the announced time")
 			before, _ := p.Force(next - 1)
 			assert.Equal(t, force, before)
 		}
 	}
 	assert.Equal(t, 1+fadeSteps, changes)
-	assert.Zero(t, was)
-	assert.Equal(t, 1.0, p.Weigh(at(2*time.Hour), "b", list)["h0"], "then as discovery tells")
-	half := p.Weigh(at(time.Hour+4*time.Minute-time.Second), "b", list)
-	assert.InDelta(t, 0.75, share(half, list, "b"), 0.01)
+	assert.Zero(t, previous)
+	assert.Equal(t, 1.0, p.Weights(unixTime(2*time.Hour), "b", list)["h0"], "a plan that is no longer in force leaves the discovered weights")
+	fading := p.Weights(unixTime(time.Hour+4*time.Minute-time.Second), "b", list)
+	assert.InDelta(t, 0.75, roomShare(fading, list, "b"), 0.01)
 }
 
-// Hosts that are gone leave their share to their room, and where that no longer serves it, to others; hosts that the
-// plan does not know are taken for the median of their kind.
-func TestAPlanForAnotherFleet(t *testing.T) {
-	p, list := plan()
+// The share of hosts that are gone goes to the other hosts of their room and, if these cannot serve it, to other rooms.
+// Hosts that the plan does not know get the median weight of their kind.
+func TestWeightsForChangedFleet(t *testing.T) {
+	p, list := skewedPlan()
 	fewer := slices.DeleteFunc(slices.Clone(list), func(s policy.Server) bool { return s.ID == "h0" || s.ID == "h2" })
-	w := p.Weigh(at(0), "a", fewer)
-	assert.InDelta(t, 45.0/(45+135-56), share(w, fewer, "a"), 0.01, "one host of a is left: it gets what it serves, b's what b has left")
+	w := p.Weights(unixTime(0), "a", fewer)
+	assert.InDelta(t, 45.0/(45+135-56), roomShare(w, fewer, "a"), 0.01, "the one host left in a gets what it serves, those of b get the free capacity of b")
 	more := append(slices.Clone(list), policy.Server{ID: "new", Zone: "b", Kind: "full-speed", State: policy.Ready, Weight: 1})
-	w = p.Weigh(at(0), "b", more)
+	w = p.Weights(unixTime(0), "b", more)
 	assert.InDelta(t, w["h1"], w["new"], 1e-9)
-	none := p.Weigh(at(0), "a", nil)
+	none := p.Weights(unixTime(0), "a", nil)
 	assert.Empty(t, none)
-	var gone []policy.Server
+	var draining []policy.Server
 	for _, s := range list {
 		s.State = policy.Draining
-		gone = append(gone, s)
+		draining = append(draining, s)
 	}
-	assert.Equal(t, p.Weigh(at(0), "a", list), p.Weigh(at(0), "a", gone), "a drain moves no key before its host is gone")
+	assert.Equal(t, p.Weights(unixTime(0), "a", list), p.Weights(unixTime(0), "a", draining), "a draining host keeps its keys until it is gone")
 }
 
-// Weights follow from list, room and time alone: not from the order of the list.
-func TestBalancersWeighAlike(t *testing.T) {
-	p, list := plan()
+// Balancers of a room must agree on the weights, so these must not depend on the order of the list.
+func TestWeightsDoNotDependOnListOrder(t *testing.T) {
+	p, list := skewedPlan()
 	rapid.Check(t, func(t *rapid.T) {
 		other := slices.Clone(list)
 		rng := rand.New(rand.NewPCG(rapid.Uint64().Draw(t, "seed"), 1))
 		rng.Shuffle(len(other), func(i, j int) { other[i], other[j] = other[j], other[i] })
 		n := rapid.IntRange(0, len(other)).Draw(t, "listed")
-		now := at(time.Duration(rapid.IntRange(0, 7200).Draw(t, "now")) * time.Second)
+		now := unixTime(time.Duration(rapid.IntRange(0, 7200).Draw(t, "now")) * time.Second)
 		sorted := slices.Clone(other[:n])
 		slices.SortFunc(sorted, func(a, b policy.Server) int { return strings.Compare(a.ID, b.ID) })
-		assert.Equal(t, p.Weigh(now, "a", sorted), p.Weigh(now, "a", other[:n]))
+		assert.Equal(t, p.Weights(now, "a", sorted), p.Weights(now, "a", other[:n]))
 	})
 }
 
-func TestAPlanComesBackAsItWas(t *testing.T) {
-	p, _ := plan()
+func TestPlanRoundTrip(t *testing.T) {
+	p, _ := skewedPlan()
 	text, err := json.MarshalIndent(p, "", "  ")
 	require.NoError(t, err)
 	again, err := ParsePlan(text)
@@ -146,36 +146,36 @@
 	assert.Error(t, err)
 }
 
-// Cells as hosts: flights and carriers are given to them.
-func TestPlansOverCells(t *testing.T) {
-	f, _ := skewed()
+// With cells in place of hosts, the plan assigns flights and carriers to cells.
+func TestPlanWithCellsAsHosts(t *testing.T) {
+	f, _ := skewedFleet()
 	f.Hosts = []Host{{ID: "north", Room: "a", Capacity: 150, HostsPerFlight: 2}, {ID: "south", Room: "b", Capacity: 150, HostsPerFlight: 2}}
 	for i := range f.Flights {
 		f.Flights[i].Carrier = f.Flights[i].Parts[0].Room
 	}
-	p := NewPlan(f, Solve(f, steps), day, time.Hour, 0)
+	p := NewPlan(f, Solve(f, testLimit), created, time.Hour, 0)
 	assert.Nil(t, p.RoomWeights)
 	assert.Len(t, p.Flights, 16)
 	assert.Equal(t, "south", p.Carriers["b"])
-	again, err := ParsePlan(must(json.Marshal(p)))
+	again, err := ParsePlan(mustMarshal(json.Marshal(p)))
 	require.NoError(t, err)
 	assert.Equal(t, p.Flights, again.Flights)
 }
 
-func must(text []byte, err error) []byte {
+func mustMarshal(text []byte, err error) []byte {
 	if err != nil {
 		panic(err)
 	}
 	return text
 }
 
-// What the fleet cannot serve is told, by carrier, the least worth a load first.
-func TestWhatIsShedIsTold(t *testing.T) {
+// Demand that the fleet cannot serve is reported by carrier, the least worth per load first.
+func TestShedDemandIsReportedByCarrier(t *testing.T) {
 	f := &Fleet{Prices: DefaultPrices(), Hosts: []Host{{ID: "h", Room: "a", Capacity: 40}}}
 	for i, worth := range []float64{1, 3, 0.2, 0.1} {
 		f.Flights = append(f.Flights, Flight{ID: uint64(i), Carrier: fmt.Sprint(worth), Parts: []Part{{"a", 14, 14 * worth}}})
 	}
-	p := NewPlan(f, Solve(f, steps), day, 0, 0)
+	p := NewPlan(f, Solve(f, testLimit), created, 0, 0)
 	var names []string
 	for _, s := range p.ShedDemand {
 		names = append(names, s.Carrier)
@@ -183,12 +183,13 @@
 	assert.Equal(t, []string{"0.1", "0.2"}, names)
 }
 
-// The estimate finds what hosts can do from late and noisy reports, and its error bars hold it most of the time.
-func TestCapacityIsEstimated(t *testing.T) {
+// The estimator finds the capacities of hosts from late and noisy reports, and its error bars cover the true value most
+// of the time.
+func TestCapacityEstimatesCoverTrueValues(t *testing.T) {
 	rng := rand.New(rand.NewPCG(1, 1))
-	within, off := 0, 0.0
+	within, meanError := 0, 0.0
 	const hosts = 60
-	e := NewEstimator()
+	e := NewCapacityEstimator()
 	truth := map[string]float64{}
 	for i := range hosts {
 		id, kind, speed := fmt.Sprintf("h%02d", i), "full-speed", 0.85+0.25*rng.Float64()
@@ -196,45 +197,45 @@
 			kind, speed = "slow-clock", 0.51+0.18*rng.Float64()
 		}
 		truth[id] = 36 * speed
-		e.Know(id, "a", kind)
+		e.AddHost(id, "a", kind)
 		load := 5.0
 		for range 8 + rng.IntN(200) {
-			late := load
+			reported := load
 			load = max(load+2*rng.NormFloat64(), 1)
-			e.Learn(id, load*(1+0.1*rng.NormFloat64()), late/truth[id])
+			e.AddSample(id, load*(1+0.1*rng.NormFloat64()), reported/truth[id])
 		}
 	}
 	for _, h := range e.Hosts() {
-		off += math.Abs(h.Capacity/truth[h.ID]-1) / hosts
+		meanError += math.Abs(h.Capacity/truth[h.ID]-1) / hosts
 		if math.Abs(h.Capacity-truth[h.ID]) <= 2*h.CapacityError*h.Capacity {
 			within++
 		}
 	}
-	assert.Less(t, off, 0.08)
+	assert.Less(t, meanError, 0.08)
 	assert.GreaterOrEqual(t, within, hosts*8/10)
 }
 
-// A host without reports is taken for its kind, with a wide error; records of several balancers add up, and a broken
-// line is left out.
-func TestRecordsMakeAFleet(t *testing.T) {
+// A host without reports gets the capacity of its kind with a large error, records of several balancers add up, and an
+// invalid line is skipped.
+func TestFleetFromRecords(t *testing.T) {
 	var text strings.Builder
 	for i := range 20 {
 		for b := range 2 {
-			rec := Record{Version: 1, At: day.UnixMilli() + int64(i*1000+b), Balancer: fmt.Sprint("n", b), Room: []string{"a", "b"}[b],
+			rec := Record{Version: 1, At: created.UnixMilli() + int64(i*1000+b), Balancer: fmt.Sprint("n", b), Room: []string{"a", "b"}[b],
 				Hosts:       []RecordedHost{{ID: "h0", Room: "a", Kind: "k", X0: 0.5}, {ID: "h1", Room: "b", Kind: "k", Age: -1}},
 				Connections: []FlightConnections{{Key: "f1", Carrier: "x", Host: "h0", OpenByClass: map[string]int{"lookup": 2, "seat-set": 1}}}}
-			text.Write(must(json.Marshal(rec)))
+			text.Write(mustMarshal(json.Marshal(rec)))
 			text.WriteByte('\n')
 		}
 	}
 	text.WriteString(`{"v":1,"at":17`)
-	g := NewFleetBuilder(DefaultClassLoads(), 3, time.Second)
-	require.NoError(t, g.Read(strings.NewReader(text.String())))
-	assert.Equal(t, 1, g.RejectedLines)
-	f, err := g.Fleet(DefaultPrices())
+	builder := NewFleetBuilder(DefaultClassLoads(), 3, time.Second)
+	require.NoError(t, builder.Read(strings.NewReader(text.String())))
+	assert.Equal(t, 1, builder.RejectedLines)
+	f, err := builder.Fleet(DefaultPrices())
 	require.NoError(t, err)
 	require.Len(t, f.Hosts, 2)
-	assert.InDelta(t, 26, f.Hosts[0].Capacity, 1e-6, "two balancers with 5 loads each and one flight, at an x0 of a half")
+	assert.InDelta(t, 26, f.Hosts[0].Capacity, 1e-6, "two balancers with 5 loads each, and the overhead of one flight, at an x0 of one half")
 	assert.InDelta(t, 26, f.Hosts[1].Capacity, 1e-6)
 	assert.Greater(t, f.Hosts[1].CapacityError, 2*f.Hosts[0].CapacityError)
 	require.Len(t, f.Flights, 1)
@@ -247,15 +248,15 @@
 }
 
 func FuzzPlan(f *testing.F) {
-	p, list := plan()
-	f.Add(must(json.Marshal(p)))
+	p, list := skewedPlan()
+	f.Add(mustMarshal(json.Marshal(p)))
 	f.Add([]byte(`{"version":1,"born":"2026-12-01T05:00:00Z","holds":"1h","fades":"1m","rooms":{"a":{}},"hosts":[],"demand":{"a":1}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		p, err := ParsePlan(text)
 		if err != nil {
 			return
 		}
-		for _, w := range p.Weigh(at(0), "a", list) {
+		for _, w := range p.Weights(unixTime(0), "a", list) {
 			if !(w > 0) || math.IsInf(w, 0) {
 				t.Fatalf("weight %v", w)
 			}
@@ -264,8 +265,8 @@
 }
 
 func FuzzFleet(f *testing.F) {
-	fleet, _ := skewed()
-	f.Add(must(json.Marshal(fleet)))
+	fleet, _ := skewedFleet()
+	f.Add(mustMarshal(json.Marshal(fleet)))
 	f.Add([]byte(`{"hosts":[{"id":"h","room":"a","capacity":1e-9}],"flights":[{"id":1,"parts":[{"room":"b","load":1e9,"worth":0}]}],"prices":{"fill":1,"piece":3}}`))
 	f.Fuzz(func(t *testing.T, text []byte) {
 		fleet, err := ParseFleet(text)
--- a/internal/placement/problem.go
+++ b/internal/placement/problem.go
@@ -6,70 +6,74 @@
 	"slices"
 )
 
-// wholeUpTo is how many times the price of a further host a part is placed as a whole; a larger one is cut, as it may be
-// larger than any host, and what the cut costs is little against it. The rule must not look at what hosts can do, or
-// more of it could be worth less.
-const wholeUpTo, mostCuts = 8, 256
+// maxPieceOverheads is the largest load that is placed as one piece, in multiples of the overhead of a further host. A
+// larger part is cut, as it may be larger than any host, and the cost of the cut is small compared to its load. The rule
+// must not depend on the capacities of hosts: otherwise, more capacity could lower the value of the best placement.
+const maxPieceOverheads = 8
 
-// cutsOfAll is into how many pieces all demand would be cut where a further host costs nothing.
-const cutsOfAll = 32
+// maxCutsPerPart limits the number of pieces into which one part is cut.
+const maxCutsPerPart = 256
 
-// piece is what is placed as one: a part of a flight, or of a part that is cut.
+// targetPieces is the number of pieces into which the whole demand is cut where a further host costs nothing.
+const targetPieces = 32
+
+// piece is the unit of placement: a part of a flight, or a fraction of a part that is cut.
 type piece struct {
 	flight, room int
 	load, worth  float64
-	refund       float64 // its share of the waste of the first host
-	was          int     // host, or none
+	wasteCredit  float64 // its share of the waste of the flight's first host
+	current      int     // host that the plan in force names, or none
 }
 
+// none stands for the absence of a host or a room.
 const none = -1
 
-// problem is a fleet in numbers. Hosts and flights are in the order of their names, so that the order in which they
-// were told changes nothing.
+// problem is a fleet with hosts, rooms and flights as indexes. Hosts and rooms are sorted by name and flights by load
+// and id, so that the order of the input does not matter.
 type problem struct {
-	fleet   *Fleet
-	hosts   []int // index in the fleet
-	serves  []float64
-	room    []int // of each host
-	over    []float64
-	rooms   []string
-	byRoom  [][]int
-	pieces  []piece
-	flights []int // index in the fleet
-	from    []int // pieces of flight i are from[i] to from[i+1]
-	flight  []float64
-	prices  Prices
-	waste   float64   // worth of a load that serves nobody
-	worth   float64   // of all
-	least   []float64 // that a host of each room pays for a flight
-	home    []bool    // of each host: the plan in force has a flight there, so that it is like no other
+	fleet         *Fleet
+	hostIndexes   []int     // index in the fleet, by host of the problem
+	usable        []float64 // usable capacity of each host
+	hostRoom      []int     // room of each host
+	overhead      []float64 // load that each host pays for a flight
+	rooms         []string
+	hostsByRoom   [][]int
+	pieces        []piece
+	flightIndexes []int // index in the fleet, by flight of the problem
+	firstPiece    []int // the pieces of flight i are those from firstPiece[i] to before firstPiece[i+1]
+	flightLoad    []float64
+	prices        Prices
+	wastePerLoad  float64   // cost of a load that serves nobody
+	totalWorth    float64   // of all flights
+	minOverhead   []float64 // least overhead among the hosts of each room
+	isCurrentHost []bool    // the plan in force places a flight on this host, so it is not interchangeable with others
 }
 
-// indexes are the places of rooms and hosts in a problem, by their names.
-type indexes struct{ rooms, hosts map[string]int }
+// nameIndexes are the indexes of rooms and hosts in a problem, by their names.
+type nameIndexes struct{ rooms, hosts map[string]int }
 
-func compile(f *Fleet) *problem {
+func newProblem(f *Fleet) *problem {
 	p := &problem{fleet: f, prices: f.Prices}
-	at := indexes{rooms: p.nameRooms(), hosts: map[string]int{}}
-	p.addHosts(at)
+	indexes := nameIndexes{rooms: p.indexRooms(), hosts: map[string]int{}}
+	p.addHosts(indexes)
 	p.orderFlights()
-	unit := p.cutUnit()
-	load := 0.0
-	for n := range p.flights {
-		sum := p.addPieces(n, unit, at)
-		load += sum
-		p.flight = append(p.flight, sum)
-	}
-	p.from = append(p.from, len(p.pieces))
-	if load > 0 {
-		p.waste = f.Prices.Waste * p.worth / load
-	}
-	p.refund()
+	maxLoad := p.maxPieceLoad()
+	totalLoad := 0.0
+	for n := range p.flightIndexes {
+		load := p.addPieces(n, maxLoad, indexes)
+		totalLoad += load
+		p.flightLoad = append(p.flightLoad, load)
+	}
+	p.firstPiece = append(p.firstPiece, len(p.pieces))
+	if totalLoad > 0 {
+		p.wastePerLoad = f.Prices.Waste * p.totalWorth / totalLoad
+	}
+	p.creditFirstHosts()
 	return p
 }
 
-// nameRooms lists the rooms of hosts and flights in order of their names, and tells the index of each.
-func (p *problem) nameRooms() map[string]int {
+// indexRooms lists the rooms of hosts and flights sorted by name, and returns the index of each.
+func (p *problem) indexRooms() map[string]int {
 	index := map[string]int{}
 	for i := range p.fleet.Hosts {
 		index[p.fleet.Hosts[i].Room] = 0
@@ -89,73 +93,73 @@
 	return index
 }
 
-// addHosts takes the hosts in order of their ids.
-func (p *problem) addHosts(at indexes) {
+// addHosts adds the hosts in order of their ids.
+func (p *problem) addHosts(indexes nameIndexes) {
 	f := p.fleet
 	for i := range f.Hosts {
-		p.hosts = append(p.hosts, i)
+		p.hostIndexes = append(p.hostIndexes, i)
 	}
-	slices.SortFunc(p.hosts, func(a, b int) int { return cmp.Compare(f.Hosts[a].ID, f.Hosts[b].ID) })
-	p.byRoom = make([][]int, len(p.rooms))
-	for j, i := range p.hosts {
+	slices.SortFunc(p.hostIndexes, func(a, b int) int { return cmp.Compare(f.Hosts[a].ID, f.Hosts[b].ID) })
+	p.hostsByRoom = make([][]int, len(p.rooms))
+	for j, i := range p.hostIndexes {
 		h := &f.Hosts[i]
-		at.hosts[h.ID] = j
-		r := at.rooms[h.Room]
-		p.room = append(p.room, r)
-		p.byRoom[r] = append(p.byRoom[r], j)
-		p.serves = append(p.serves, h.UsableCapacity(&f.Prices))
-		p.over = append(p.over, f.Prices.PerHostOverhead*h.spread())
-	}
-	p.least, p.home = make([]float64, len(p.rooms)), make([]bool, len(p.hosts))
-	for r, hosts := range p.byRoom {
+		indexes.hosts[h.ID] = j
+		r := indexes.rooms[h.Room]
+		p.hostRoom = append(p.hostRoom, r)
+		p.hostsByRoom[r] = append(p.hostsByRoom[r], j)
+		p.usable = append(p.usable, h.UsableCapacity(&f.Prices))
+		p.overhead = append(p.overhead, f.Prices.PerHostOverhead*h.hostsPerFlight())
+	}
+	p.minOverhead, p.isCurrentHost = make([]float64, len(p.rooms)), make([]bool, len(p.hostIndexes))
+	for r, hosts := range p.hostsByRoom {
 		for j, h := range hosts {
-			if j == 0 || p.over[h] < p.least[r] {
-				p.least[r] = p.over[h]
+			if j == 0 || p.overhead[h] < p.minOverhead[r] {
+				p.minOverhead[r] = p.overhead[h]
 			}
 		}
 	}
 }
 
-// orderFlights takes the flights, the largest first.
+// orderFlights sorts the flights, the largest first.
 func (p *problem) orderFlights() {
 	all := p.fleet.Flights
 	for i := range all {
-		p.flights = append(p.flights, i)
+		p.flightIndexes = append(p.flightIndexes, i)
 	}
-	slices.SortFunc(p.flights, func(a, b int) int {
-		loadA, _ := all[a].total()
-		loadB, _ := all[b].total()
+	slices.SortFunc(p.flightIndexes, func(a, b int) int {
+		loadA, _ := all[a].totals()
+		loadB, _ := all[b].totals()
 		return cmp.Or(cmp.Compare(loadB, loadA), cmp.Compare(all[a].ID, all[b].ID))
 	})
 }
 
-// total is what all parts of a flight come to.
-func (fl *Flight) total() (load, worth float64) {
+// totals is the sum of all parts of a flight.
+func (fl *Flight) totals() (load, worth float64) {
 	for _, part := range fl.Parts {
 		load, worth = load+part.Load, worth+part.Worth
 	}
 	return load, worth
 }
 
-// cutUnit is the load over which a part is cut.
-func (p *problem) cutUnit() float64 {
-	unit := wholeUpTo * p.prices.PerHostOverhead
-	if unit == 0 {
+// maxPieceLoad is the load above which a part is cut.
+func (p *problem) maxPieceLoad() float64 {
+	maxLoad := maxPieceOverheads * p.prices.PerHostOverhead
+	if maxLoad == 0 {
 		for i := range p.fleet.Flights {
-			load, _ := p.fleet.Flights[i].total()
-			unit += load / cutsOfAll
+			load, _ := p.fleet.Flights[i].totals()
+			maxLoad += load / targetPieces
 		}
 	}
-	return unit
+	return maxLoad
 }
 
-// addPieces takes the parts of a flight, cut where they are large, and tells its load.
-func (p *problem) addPieces(n int, unit float64, at indexes) (sum float64) {
-	fl := &p.fleet.Flights[p.flights[n]]
-	p.from = append(p.from, len(p.pieces))
-	was, known := at.hosts[fl.CurrentHost]
+// addPieces adds the parts of a flight, cut where they are large, and returns the load of the flight.
+func (p *problem) addPieces(n int, maxLoad float64, indexes nameIndexes) (load float64) {
+	fl := &p.fleet.Flights[p.flightIndexes[n]]
+	p.firstPiece = append(p.firstPiece, len(p.pieces))
+	current, known := indexes.hosts[fl.CurrentHost]
 	if !known {
-		was = none
+		current = none
 	}
 	parts := slices.Clone(fl.Parts)
 	slices.SortFunc(parts, func(a, b Part) int { return cmp.Compare(a.Room, b.Room) })
@@ -164,31 +168,31 @@
 			continue
 		}
 		if known {
-			p.home[was] = true
+			p.isCurrentHost[current] = true
 		}
 		cuts := 1
-		if unit > 0 && part.Load > unit {
-			cuts = int(min(math.Ceil(part.Load/unit-tolerance), mostCuts))
+		if maxLoad > 0 && part.Load > maxLoad {
+			cuts = int(min(math.Ceil(part.Load/maxLoad-tolerance), maxCutsPerPart))
 		}
 		for range cuts {
 			c := float64(cuts)
-			p.pieces = append(p.pieces, piece{n, at.rooms[part.Room], part.Load / c, part.Worth / c, 0, was})
+			p.pieces = append(p.pieces, piece{n, indexes.rooms[part.Room], part.Load / c, part.Worth / c, 0, current})
 		}
-		sum += part.Load
-		p.worth += part.Worth
+		load += part.Load
+		p.totalWorth += part.Worth
 	}
-	return sum
+	return load
 }
 
-// refund gives each piece its share of the waste of a flight's first host.
-func (p *problem) refund() {
-	if len(p.over) == 0 {
+// creditFirstHosts gives each piece its share of the waste of its flight's first host.
+func (p *problem) creditFirstHosts() {
+	if len(p.overhead) == 0 {
 		return
 	}
-	least := slices.Min(p.over)
+	minOverhead := slices.Min(p.overhead)
 	for i := range p.pieces {
-		if c := &p.pieces[i]; p.flight[c.flight] > 0 {
-			c.refund = p.waste * least * c.load / p.flight[c.flight]
+		if c := &p.pieces[i]; p.flightLoad[c.flight] > 0 {
+			c.wasteCredit = p.wastePerLoad * minOverhead * c.load / p.flightLoad[c.flight]
 		}
 	}
 }
--- a/internal/placement/solve.go
+++ b/internal/placement/solve.go
@@ -6,127 +6,128 @@
 	"slices"
 )
 
-// Method is how an answer was found, the best first.
+// Method is the way in which a solution was found.
 type Method string
 
-// The methods.
+// The methods, the best first.
 const (
-	Exact    Method = "exact"    // no placement is worth more
-	Search   Method = "search"   // the best that the search met before its end
-	Repaired Method = "repaired" // the plan in force, what it no longer has a host for placed anew
-	Overflow Method = "overflow" // as much as fits in its room, the rest where there is room
-	Equal    Method = "equal"    // each flight by its key, all hosts alike
+	Exact    Method = "exact"    // proved optimal
+	Search   Method = "search"   // the best placement that the search found before its end
+	Repaired Method = "repaired" // the plan in force, with the flights placed again whose host is gone
+	Overflow Method = "overflow" // as much as fits in its own room, the rest where there is capacity
+	Equal    Method = "equal"    // each flight on a host chosen by its key, all hosts equal
 )
 
-// SearchLimit bounds a search. Steps count placements that were evaluated and are the same on every machine; Stop, asked now
-// and then, ends it early.
+// SearchLimit bounds a search. Steps count evaluated placements, and are the same on every machine. Stop is called
+// regularly and ends the search early.
 type SearchLimit struct {
-	MaxSteps int                                   // 0: none
-	Stop     func() bool                           // nil: never
-	Progress func(worth, bound float64, steps int) // told now and then, if set
+	MaxSteps int                                   // 0: no limit
+	Stop     func() bool                           // nil: never stops early
+	Progress func(worth, bound float64, steps int) // called regularly, if set
 	Seed     uint64
 }
 
 const (
-	seedStream    = 11  // of the random numbers: one stream for each use of a seed
-	askEvery      = 200 // steps between two questions whether to stop
-	manyPieces    = 2000
-	boundRounds   = 60   // in which the prices of the bound are sought,
-	fewerRounds   = 40   // and with many pieces
-	mostExact     = 64   // pieces that are placed by branch and bound
-	optimalWithin = 1e-9 // share of the bound by which rounding may keep an optimal answer under it
+	seedStream              = 11   // of the random numbers, to keep them apart from other uses of the same seed
+	stopCheckInterval       = 200  // steps between two calls of Stop and Progress
+	largeProblemPieces      = 2000 // with more pieces: fewer rounds for the bound, no perturbations
+	boundRounds             = 60   // rounds of the search for the dual prices
+	largeProblemBoundRounds = 40   // the same with more than largeProblemPieces
+	maxExactPieces          = 64   // number of pieces up to which branch and bound is used
+	optimalityTolerance     = 1e-9 // share of the bound by which rounding may leave an optimal solution below it
 )
 
-// Solve places a fleet's flights. The fleet must have passed Check.
+// Solve places the flights of a fleet. The fleet must have passed Check.
 func Solve(f *Fleet, limit SearchLimit) *Solution {
-	s := &search{problem: compile(f), limit: limit, rng: rand.New(rand.NewPCG(limit.Seed, seedStream))}
-	method := s.start()
-	if !s.ended() {
+	s := &search{problem: newProblem(f), limit: limit, rng: rand.New(rand.NewPCG(limit.Seed, seedStream))}
+	method := s.initialise()
+	if !s.finished() {
 		method = s.refine(method)
 	}
-	if s.bound-s.total <= optimalWithin*max(math.Abs(s.bound), s.worth) {
+	if s.bound-s.bestValue <= optimalityTolerance*max(math.Abs(s.bound), s.totalWorth) {
 		method = Exact
 	}
-	return s.answer(method)
+	return s.solution(method)
 }
 
-// CurrentPlacement is the fleet as it is: flights on the hosts that the plan in force has them on, the rest by their keys.
+// CurrentPlacement is the placement in use: flights on the hosts that the plan in force names, the others on hosts
+// chosen by their keys.
 func CurrentPlacement(f *Fleet) *Solution {
-	s := &search{problem: compile(f)}
-	s.best = s.equal()
+	s := &search{problem: newProblem(f)}
+	s.best = s.hashPlacement()
 	for i := range s.pieces {
-		if was := s.pieces[i].was; was != none {
-			s.best[i] = int32(was)
+		if current := s.pieces[i].current; current != none {
+			s.best[i] = int32(current)
 		}
 	}
-	s.total = s.value(s.best).Total
-	return s.answer(Equal)
+	s.bestValue = s.valueOf(s.best).Total
+	return s.solution(Equal)
 }
 
-// search holds the best placement so far.
+// search is the state of a search, with the best placement so far.
 type search struct {
 	*problem
-	limit   SearchLimit
-	rng     *rand.Rand
-	best    []int32
-	total   float64
-	bound   float64
-	prices  []float64 // of the bound
-	steps   int
-	asked   int
-	stopped bool
+	limit         SearchLimit
+	rng           *rand.Rand
+	best          []int32
+	bestValue     float64
+	bound         float64
+	dualPrices    []float64 // prices per load and room that give the bound
+	steps         int
+	nextStopCheck int
+	stopped       bool
 }
 
-// start takes the best placement that needs no search, and the bound at no prices.
-func (s *search) start() Method {
+// initialise takes the best placement that needs no search, and the bound at prices of zero.
+func (s *search) initialise() Method {
 	method, best := s.fallback()
-	s.best, s.total = best, s.value(best).Total
-	free := &dual{problem: s.problem, price: make([]float64, len(s.rooms))}
-	s.bound, s.prices = free.most(nil), free.price
+	s.best, s.bestValue = best, s.valueOf(best).Total
+	zeroPrices := &dual{problem: s.problem, price: make([]float64, len(s.rooms))}
+	s.bound, s.dualPrices = zeroPrices.bound(nil), zeroPrices.price
 	return method
 }
 
-// refine looks for better placements: from the prices of the bound, by local search and, where pieces are few, by
-// branch and bound.
+// refine looks for better placements: greedily at the dual prices, by local search and, where pieces are few, by branch
+// and bound.
 func (s *search) refine(method Method) Method {
 	rounds := boundRounds
-	if len(s.pieces) > manyPieces {
-		rounds = fewerRounds
+	if len(s.pieces) > largeProblemPieces {
+		rounds = largeProblemBoundRounds
 	}
-	d := s.descend(rounds)
-	for _, tight := range []bool{false, true} {
-		if !s.ended() && s.offer(s.greedy(d.price, tight, false)) {
+	d := s.subgradientDescent(rounds)
+	for _, bestFit := range []bool{false, true} {
+		if !s.finished() && s.acceptIfBetter(s.greedy(d.price, bestFit, false)) {
 			method = Search
 		}
 	}
 	if s.improve() {
 		method = Search
 	}
-	if len(s.pieces) <= mostExact && !s.ended() && s.branch(d) {
+	if len(s.pieces) <= maxExactPieces && !s.finished() && s.branchAndBound(d) {
 		method = Exact
 	}
 	return method
 }
 
-// ended tells that the search is to end.
-func (s *search) ended() bool {
+// finished reports whether a limit has ended the search.
+func (s *search) finished() bool {
 	if s.stopped || s.limit.MaxSteps > 0 && s.steps >= s.limit.MaxSteps {
 		return true
 	}
-	if s.steps >= s.asked {
-		s.asked = s.steps + askEvery
+	if s.steps >= s.nextStopCheck {
+		s.nextStopCheck = s.steps + stopCheckInterval
 		s.stopped = s.limit.Stop != nil && s.limit.Stop()
 		if s.limit.Progress != nil {
-			s.limit.Progress(s.total, s.bound, s.steps)
+			s.limit.Progress(s.bestValue, s.bound, s.steps)
 		}
 	}
 	return s.stopped
 }
 
-// offer takes a placement if it is worth more.
-func (s *search) offer(at []int32) bool {
-	if v := s.value(at).Total; v > s.total+tolerance*max(s.worth, 0) {
-		s.best, s.total = slices.Clone(at), v
+// acceptIfBetter takes a placement as the best if its value is higher.
+func (s *search) acceptIfBetter(hostOf []int32) bool {
+	if v := s.valueOf(hostOf).Total; v > s.bestValue+tolerance*max(s.totalWorth, 0) {
+		s.best, s.bestValue = slices.Clone(hostOf), v
 		return true
 	}
 	return false
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -2,107 +2,107 @@
 
 import "slices"
 
-// state is a placement under change, with what each host is worth in it.
+// state is a placement that is being changed, with the value of each host in it.
 type state struct {
 	*problem
-	at      []int32
-	items   [][]int32 // pieces on each host
-	worths  []float64
-	free    []float64 // loads that could still come to each host
-	total   float64
-	mark    []int32 // of each flight: the stamp at which it was last counted
-	stamp   int32
-	order   []int32
-	touched []int
-	before  []float64 // worth and free of each host touched
-	changes []change
+	hostOf      []int32
+	piecesOn    [][]int32 // pieces on each host
+	hostWorth   []float64
+	freeLoad    []float64 // load that still fits on each host
+	total       float64
+	flightStamp []int32 // of each flight: the stamp of the count in which it was last seen
+	stamp       int32
+	sorted      []int32     // buffer of byGainPerLoad
+	touched     []int       // hosts that the current attempt changes
+	saved       []float64   // hostWorth and freeLoad of each touched host before the attempt
+	moves       []pieceMove // buffer of flightMoves
 }
 
-// change takes a piece from one host to another, either of which may be none.
-type change struct {
+// pieceMove takes a piece from one host to another; either of them may be none.
+type pieceMove struct {
 	piece    int32
 	from, to int32
 }
 
-func (p *problem) state(at []int32) *state {
-	s := &state{problem: p, at: slices.Clone(at), items: make([][]int32, len(p.hosts)), worths: make([]float64, len(p.hosts)),
-		free: slices.Clone(p.serves), mark: make([]int32, len(p.flight))}
-	for i, h := range at {
+func (p *problem) newState(hostOf []int32) *state {
+	s := &state{problem: p, hostOf: slices.Clone(hostOf), piecesOn: make([][]int32, len(p.hostIndexes)), hostWorth: make([]float64, len(p.hostIndexes)),
+		freeLoad: slices.Clone(p.usable), flightStamp: make([]int32, len(p.flightLoad))}
+	for i, h := range hostOf {
 		if h != none {
-			s.items[h] = append(s.items[h], int32(i))
+			s.piecesOn[h] = append(s.piecesOn[h], int32(i))
 		}
 	}
-	for h := range s.items {
-		s.weigh(h)
-		s.total += s.worths[h]
+	for h := range s.piecesOn {
+		s.revalue(h)
+		s.total += s.hostWorth[h]
 	}
 	return s
 }
 
-func (s *state) weigh(h int) {
-	worth, d := s.host(h, s.items[h])
-	s.worths[h], s.free[h] = worth, d.free
+func (s *state) revalue(h int) {
+	value, d := s.hostValue(h, s.piecesOn[h])
+	s.hostWorth[h], s.freeLoad[h] = value, d.freeLoad
 }
 
-// shift makes a change without working out what it brings.
-func (s *state) shift(c change) {
-	if c.from != none {
-		list := s.items[c.from]
-		i := slices.Index(list, c.piece)
-		list[i] = list[len(list)-1]
-		s.items[c.from] = list[:len(list)-1]
+// move makes a move without updating any values.
+func (s *state) move(m pieceMove) {
+	if m.from != none {
+		pieces := s.piecesOn[m.from]
+		i := slices.Index(pieces, m.piece)
+		pieces[i] = pieces[len(pieces)-1]
+		s.piecesOn[m.from] = pieces[:len(pieces)-1]
 	}
-	if c.to != none {
-		s.items[c.to] = append(s.items[c.to], c.piece)
+	if m.to != none {
+		s.piecesOn[m.to] = append(s.piecesOn[m.to], m.piece)
 	}
-	s.at[c.piece] = c.to
+	s.hostOf[m.piece] = m.to
 }
 
-// try makes changes, and takes them back where they bring nothing.
-func (s *state) try(changes ...change) bool {
-	s.touched, s.before = s.touched[:0], s.before[:0]
-	for _, c := range changes {
-		s.touch(c.from)
-		s.touch(c.to)
-		s.shift(c)
+// tryMoves makes moves, and takes them back unless they raise the value.
+func (s *state) tryMoves(moves ...pieceMove) bool {
+	s.touched, s.saved = s.touched[:0], s.saved[:0]
+	for _, m := range moves {
+		s.save(m.from)
+		s.save(m.to)
+		s.move(m)
 	}
 	delta := 0.0
 	for i, h := range s.touched {
-		s.weigh(h)
-		delta += s.worths[h] - s.before[2*i]
+		s.revalue(h)
+		delta += s.hostWorth[h] - s.saved[2*i]
 	}
-	if delta > tolerance*s.worth {
+	if delta > tolerance*s.totalWorth {
 		s.total += delta
 		return true
 	}
-	s.undo(changes)
+	s.undo(moves)
 	return false
 }
 
-// touch notes what a host was worth before the changes that are tried.
-func (s *state) touch(h int32) {
+// save keeps the value of a host before the moves that are tried.
+func (s *state) save(h int32) {
 	if h != none && !slices.Contains(s.touched, int(h)) {
 		s.touched = append(s.touched, int(h))
-		s.before = append(s.before, s.worths[h], s.free[h])
+		s.saved = append(s.saved, s.hostWorth[h], s.freeLoad[h])
 	}
 }
 
-func (s *state) undo(changes []change) {
-	for _, c := range slices.Backward(changes) {
-		s.shift(change{c.piece, c.to, c.from})
+func (s *state) undo(moves []pieceMove) {
+	for _, m := range slices.Backward(moves) {
+		s.move(pieceMove{m.piece, m.to, m.from})
 	}
 	for i, h := range s.touched {
-		s.worths[h], s.free[h] = s.before[2*i], s.before[2*i+1]
+		s.hostWorth[h], s.freeLoad[h] = s.saved[2*i], s.saved[2*i+1]
 	}
 }
 
-// flightTo is the changes that bring all pieces of a flight to a host.
-func (s *state) flightTo(n int, h int32) []change {
-	s.changes = s.changes[:0]
-	for i := s.from[n]; i < s.from[n+1]; i++ {
-		if s.at[i] != h {
-			s.changes = append(s.changes, change{int32(i), s.at[i], h})
+// flightMoves returns the moves that bring all pieces of a flight to a host. They are valid until the next call.
+func (s *state) flightMoves(n int, h int32) []pieceMove {
+	s.moves = s.moves[:0]
+	for i := s.firstPiece[n]; i < s.firstPiece[n+1]; i++ {
+		if s.hostOf[i] != h {
+			s.moves = append(s.moves, pieceMove{int32(i), s.hostOf[i], h})
 		}
 	}
-	return s.changes
+	return s.moves
 }
--- a/internal/placement/value.go
+++ b/internal/placement/value.go
@@ -6,44 +6,45 @@
 	"slices"
 )
 
-// gain is what serving a piece on a host brings, but for what the host pays for holding its flight. The waste of a
-// flight's first host is given back, in proportion to what is served of it: no flight is turned away while there is
-// room because it is small.
+// gain is the value of serving a piece on a host, without the overhead that the host pays for the piece's flight. The
+// waste of a flight's first host is credited in proportion to the load served: otherwise, small flights would be turned
+// away although there is room for them.
 func (p *problem) gain(c *piece, host int) float64 {
-	g := c.worth + c.refund
-	if p.room[host] != c.room {
+	g := c.worth + c.wasteCredit
+	if p.hostRoom[host] != c.room {
 		g -= p.prices.Crossing * c.worth
 	}
-	if c.was != none && c.was != host {
+	if c.current != none && c.current != host {
 		g -= p.prices.Move * c.worth
 	}
 	return g
 }
 
-// Value is what a placement is worth a second, and of what that is made.
+// Value is the value of a placement per second, and its components.
 type Value struct {
-	Total           float64 // served, less what follows
-	ServedWorth     float64 // worth of what is served
-	ShedWorth       float64 // worth of what is not
-	ShedLoad        float64 // and its load
-	Crossing        float64 // what crossing costs
-	Waste           float64 // what holding flights on more than one host costs
-	Moved           float64
-	CrossedWorth    float64 // worth that crosses
-	FlightHostPairs int     // pairs of flight and host
-	Feasible        bool
+	Total           float64 // ServedWorth less the costs
+	ServedWorth     float64 // worth of the connections that are served
+	ShedWorth       float64 // worth of those that are not
+	ShedLoad        float64 // load of those that are not
+	CrossingCost    float64 // cost of serving connections in another room than the one they arrive in
+	WasteCost       float64 // cost of holding flights on more than one host
+	MoveCost        float64 // cost of not staying where the plan in force places a flight
+	CrossedWorth    float64 // worth of the connections that cross rooms
+	FlightHostPairs int     // number of pairs of a flight and a host that holds some of it
+	Feasible        bool    // all demand is served within the usable capacity of each host
 }
 
-// tolerance is what sums of floating point may be off by, as a share.
+// tolerance is the relative rounding error allowed in sums of floating-point numbers.
 const tolerance = 1e-9
 
-// value works out what a placement is worth, from nothing but it: at[i] is the host of piece i, or none.
+// valueOf computes the value of a placement from scratch: hostOf[i] is the host of piece i, or none.
 //
-// On a host that holds more than it serves, the pieces of least worth a load wait outside, the last of them in part.
-func (p *problem) value(at []int32) (v Value) {
-	items := make([][]int32, len(p.hosts))
+// On a host that holds more than its usable capacity, the pieces of least gain per load are not served, one of them in
+// part.
+func (p *problem) valueOf(hostOf []int32) (v Value) {
+	pieces := make([][]int32, len(p.hostIndexes))
 	v.Feasible = true
-	for i, h := range at {
+	for i, h := range hostOf {
 		if h == none {
 			if p.pieces[i].worth > 0 || p.pieces[i].load > 0 {
 				v.Feasible = false
@@ -52,111 +53,112 @@
 			}
 			continue
 		}
-		items[h] = append(items[h], int32(i))
+		pieces[h] = append(pieces[h], int32(i))
 	}
-	s := &state{problem: p, mark: make([]int32, len(p.flight))}
-	for h := range items {
-		total, d := s.host(h, items[h])
-		v.add(total, &d)
+	s := &state{problem: p, flightStamp: make([]int32, len(p.flightLoad))}
+	for h := range pieces {
+		total, d := s.hostValue(h, pieces[h])
+		v.addHost(total, &d)
 	}
 	return v
 }
 
-// add counts what a host is worth.
-func (v *Value) add(total float64, d *detail) {
+// addHost adds the value of a host.
+func (v *Value) addHost(total float64, d *hostDetail) {
 	v.Total += total
-	v.ServedWorth += d.served
-	v.Crossing += d.crossing
-	v.Waste += d.waste
-	v.Moved += d.moved
-	v.CrossedWorth += d.crossed
-	v.ShedWorth += d.shed
+	v.ServedWorth += d.servedWorth
+	v.CrossingCost += d.crossingCost
+	v.WasteCost += d.wasteCost
+	v.MoveCost += d.moveCost
+	v.CrossedWorth += d.crossedWorth
+	v.ShedWorth += d.shedWorth
 	v.ShedLoad += d.shedLoad
-	v.FlightHostPairs += d.pieces
+	v.FlightHostPairs += d.flights
 	if d.shedLoad > 0 {
 		v.Feasible = false
 	}
 }
 
-// detail is what a host's value is made of.
-type detail struct {
-	served, crossing, waste, moved, crossed, shed, shedLoad float64
-	pieces                                                  int
-	full                                                    bool
-	free                                                    float64 // loads that could still come; under 0 where it is full
-	margin                                                  float64 // gain a load at which a full host stops to serve
+// hostDetail holds the components of the value of a host.
+type hostDetail struct {
+	servedWorth, crossingCost, wasteCost, moveCost, crossedWorth, shedWorth, shedLoad float64
+	flights                                                                           int
+	full                                                                              bool
+	freeLoad                                                                          float64 // load that still fits; below 0 where the host is overfull
+	marginalGain                                                                      float64 // gain per load of the first piece that a full host does not serve completely
 }
 
-// host is what a host is worth with what is placed there. Of the pieces, what serves is counted with its crossing
-// and its move; the flight's price is paid for each flight that has a piece there, served or not.
-func (s *state) host(h int, items []int32) (total float64, d detail) {
-	if len(items) == 0 {
-		return 0, detail{free: s.serves[h]}
+// hostValue is the value of a host with the given pieces on it. Only the share of a piece that is served counts, with
+// its cost of crossing and moving. The overhead of a flight is paid for each flight that has a piece there, served or
+// not.
+func (s *state) hostValue(h int, pieces []int32) (total float64, d hostDetail) {
+	if len(pieces) == 0 {
+		return 0, hostDetail{freeLoad: s.usable[h]}
 	}
 	load := 0.0
-	load, d.pieces = s.count(items)
-	over := float64(d.pieces) * s.over[h]
-	d.waste = over * s.waste
-	left := s.serves[h] - over
-	d.free = left - load
-	if d.full = load > left+tolerance*(s.serves[h]+over); d.full {
-		items = s.byWorth(h, items)
+	load, d.flights = s.loadAndFlights(pieces)
+	overhead := float64(d.flights) * s.overhead[h]
+	d.wasteCost = overhead * s.wastePerLoad
+	left := s.usable[h] - overhead
+	d.freeLoad = left - load
+	if d.full = load > left+tolerance*(s.usable[h]+overhead); d.full {
+		pieces = s.byGainPerLoad(h, pieces)
 	} else {
 		left = math.Inf(1)
 	}
-	refund := 0.0
-	for _, i := range items {
+	credit := 0.0
+	for _, i := range pieces {
 		c := &s.pieces[i]
 		share := 1.0
 		if c.load > left && c.load > 0 {
 			share = max(left, 0) / c.load
-			if d.margin == 0 {
-				d.margin = max(s.gain(c, h), 0) / c.load
+			if d.marginalGain == 0 {
+				d.marginalGain = max(s.gain(c, h), 0) / c.load
 			}
 		}
 		left -= c.load * share
 		total += share * s.gain(c, h)
-		refund += share * c.refund
-		s.add(&d, c, h, share)
+		credit += share * c.wasteCredit
+		s.addPiece(&d, c, h, share)
 	}
-	total, d.waste = total-d.waste, d.waste-refund
+	total, d.wasteCost = total-d.wasteCost, d.wasteCost-credit
 	return total, d
 }
 
-// count is the load of pieces, and of how many flights they are.
-func (s *state) count(items []int32) (load float64, flights int) {
+// loadAndFlights returns the load of pieces and the number of flights that they belong to.
+func (s *state) loadAndFlights(pieces []int32) (load float64, flights int) {
 	s.stamp++
-	for _, i := range items {
+	for _, i := range pieces {
 		c := &s.pieces[i]
 		load += c.load
-		if s.mark[c.flight] != s.stamp {
-			s.mark[c.flight] = s.stamp
+		if s.flightStamp[c.flight] != s.stamp {
+			s.flightStamp[c.flight] = s.stamp
 			flights++
 		}
 	}
 	return load, flights
 }
 
-// byWorth is the pieces in the order in which a full host serves them: the most worth a load first.
-func (s *state) byWorth(h int, items []int32) []int32 {
-	s.order = append(s.order[:0], items...)
-	slices.SortFunc(s.order, func(a, b int32) int {
+// byGainPerLoad returns pieces in the order in which a full host serves them: the highest gain per load first.
+func (s *state) byGainPerLoad(h int, pieces []int32) []int32 {
+	s.sorted = append(s.sorted[:0], pieces...)
+	slices.SortFunc(s.sorted, func(a, b int32) int {
 		x, y := &s.pieces[a], &s.pieces[b]
 		return cmp.Or(cmp.Compare(s.gain(y, h)*x.load, s.gain(x, h)*y.load), cmp.Compare(a, b))
 	})
-	return s.order
+	return s.sorted
 }
 
-// add counts a piece of which a host serves a share.
-func (s *state) add(d *detail, c *piece, h int, share float64) {
-	d.served += share * c.worth
-	d.shed += (1 - share) * c.worth
+// addPiece adds a piece of which a host serves the given share.
+func (s *state) addPiece(d *hostDetail, c *piece, h int, share float64) {
+	d.servedWorth += share * c.worth
+	d.shedWorth += (1 - share) * c.worth
 	d.shedLoad += (1 - share) * c.load
-	if s.room[h] != c.room {
-		d.crossed += share * c.worth
-		d.crossing += share * s.prices.Crossing * c.worth
+	if s.hostRoom[h] != c.room {
+		d.crossedWorth += share * c.worth
+		d.crossingCost += share * s.prices.Crossing * c.worth
 	}
-	if c.was != none && c.was != h {
-		d.moved += share * s.prices.Move * c.worth
+	if c.current != none && c.current != h {
+		d.moveCost += share * s.prices.Move * c.worth
 	}
 }
