--- a/internal/sitegen/committed_test.go
+++ b/internal/sitegen/committed_test.go
@@ -12,10 +12,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-const sites = "../../deploy/sites"
+const sitesDir = "../../deploy/sites"
 
-// Danger: a file edited by hand is no longer what its seed says, and cannot be had again.
-func TestDrawnSitesAreWhatTheirSeedsDraw(t *testing.T) {
+// A committed file that was edited by hand no longer matches its seed, and cannot be reproduced.
+func TestCommittedSitesMatchTheirSeeds(t *testing.T) {
 	found := 0
 	for _, path := range siteFiles(t) {
 		text, err := os.ReadFile(path)
@@ -33,14 +33,15 @@
 	assert.Equal(t, 4, found)
 }
 
-// surveyed is what the survey of all sites reads, those written by hand as well.
-type surveyed struct {
+// surveyedSite holds the settings that TestCommittedSitesCoverTheAxes reads from all sites, those written by hand
+// included.
+type surveyedSite struct {
 	Net       struct{ Zones []string }
 	Discovery struct{ Mode string }
 	Allow     struct {
-		Probes bool
-		CPU    int `toml:"cpu_ms_per_s"`
-		Most   int `toml:"max_attempts"`
+		Probes      bool
+		CPU         int `toml:"cpu_ms_per_s"`
+		MaxAttempts int `toml:"max_attempts"`
 	}
 	Rules struct {
 		DrainGrace int `toml:"drain_grace_ms"`
@@ -53,16 +54,16 @@
 	}
 	Fam struct {
 		Mode, GoAway string
-		GroupCost    float64 `toml:"group_cost"`
-		GroupSize    *span   `toml:"group_size"`
-		PerCore      span    `toml:"per_core"`
+		GroupCost    float64     `toml:"group_cost"`
+		GroupSize    *floatRange `toml:"group_size"`
+		PerCore      floatRange  `toml:"per_core"`
 	}
 }
 
-// Danger: variants that resemble one another show the same faults.
-func TestSitesSpreadOverTheAxes(t *testing.T) {
+// Sites that resemble one another reveal only the same faults, so the committed ones must differ along every axis.
+func TestCommittedSitesCoverTheAxes(t *testing.T) {
 	axes := map[string]map[any]bool{}
-	note := func(axis string, value any) {
+	observe := func(axis string, value any) {
 		if axes[axis] == nil {
 			axes[axis] = map[any]bool{}
 		}
@@ -71,38 +72,38 @@
 	for _, path := range siteFiles(t) {
 		text, err := os.ReadFile(path)
 		require.NoError(t, err)
-		var s surveyed
+		var s surveyedSite
 		require.NoError(t, toml.Unmarshal(text, &s), path)
-		note("reports", strings.Join(s.Tier[0].Report.Fields, "/"))
-		note("probes", s.Allow.Probes)
-		note("mode", s.Fam.Mode)
-		note("list", s.Discovery.Mode)
-		note("zones", len(s.Net.Zones))
-		note("group cost", s.Fam.GroupCost)
-		note("large groups", s.Fam.GroupSize != nil)
-		note("capacity", s.Fam.PerCore[0] >= 22)
-		note("warm by", s.Tier[0].Kind[0].WarmBy)
-		note("move", s.Fam.GoAway)
-		note("attempts", s.Allow.Most)
-		note("grace", s.Rules.DrainGrace)
-		note("CPU", s.Allow.CPU)
+		observe("reports", strings.Join(s.Tier[0].Report.Fields, "/"))
+		observe("probes", s.Allow.Probes)
+		observe("mode", s.Fam.Mode)
+		observe("list", s.Discovery.Mode)
+		observe("zones", len(s.Net.Zones))
+		observe("group cost", s.Fam.GroupCost)
+		observe("large groups", s.Fam.GroupSize != nil)
+		observe("capacity", s.Fam.PerCore[0] >= 22)
+		observe("warm by", s.Tier[0].Kind[0].WarmBy)
+		observe("move", s.Fam.GoAway)
+		observe("attempts", s.Allow.MaxAttempts)
+		observe("grace", s.Rules.DrainGrace)
+		observe("CPU", s.Allow.CPU)
 	}
-	least := map[string]int{"reports": 3, "zones": 4, "attempts": 5, "grace": 4, "CPU": 3}
+	minValues := map[string]int{"reports": 3, "zones": 4, "attempts": 5, "grace": 4, "CPU": 3}
 	for axis, values := range axes {
-		assert.GreaterOrEqual(t, len(values), max(least[axis], 2), "%s: %v", axis, values)
+		assert.GreaterOrEqual(t, len(values), max(minValues[axis], 2), "%s: %v", axis, values)
 	}
 	assert.Equal(t, map[any]bool{1: true, 2: true, 3: true, 4: true}, axes["zones"])
 	assert.Equal(t, map[any]bool{0.0: true, 3.0: true}, axes["group cost"])
 }
 
 func siteFiles(t *testing.T) []string {
-	paths, err := filepath.Glob(filepath.Join(sites, "*", "*.toml"))
+	paths, err := filepath.Glob(filepath.Join(sitesDir, "*", "*.toml"))
 	require.NoError(t, err)
 	require.Len(t, paths, 6)
 	for _, path := range paths {
 		for _, name := range CompanionFiles {
 			_, err := os.Stat(filepath.Join(filepath.Dir(path), name))
-			require.NoError(t, err, "beside the site file, or what it links to")
+			require.NoError(t, err, "companion file is missing beside the site file, or its link is broken")
 		}
 	}
 	return paths
--- a/internal/sitegen/file.go
+++ b/internal/sitegen/file.go
@@ -1,96 +1,96 @@
 package sitegen
 
-// file is a site file as the operators' bench reads it. Milliseconds and seconds are told by the names.
-type file struct {
-	Name      string        `toml:"name"`
-	Family    string        `toml:"family"`
-	Wire      string        `toml:"wire"`
-	Stock     string        `toml:"stock"`
-	Day       daySection    `toml:"day"`
-	Scale     scaleSection  `toml:"scale"`
-	Load      loadSection   `toml:"load"`
-	Net       netSection    `toml:"net"`
-	Front     frontSection  `toml:"front"`
-	Clients   clientSection `toml:"clients"`
-	Discovery discovery     `toml:"discovery"`
-	Allow     allowSection  `toml:"allow"`
-	Rules     ruleSection   `toml:"rules"`
-	Goal      goalSection   `toml:"goal"`
-	Prices    priceSection  `toml:"prices"`
-	Tiers     []tier        `toml:"tier"`
-	Classes   []class       `toml:"class"`
-	Tenants   []tenant      `toml:"tenant,omitempty"`
-	Troubles  []trouble     `toml:"trouble"`
-	Standing  family        `toml:"fam"`
+// siteFile is a site file as the operators' bench reads it. The suffixes of the keys state the units.
+type siteFile struct {
+	Name        string             `toml:"name"`
+	Family      string             `toml:"family"`
+	Wire        string             `toml:"wire"`
+	Stock       string             `toml:"stock"`
+	Day         daySection         `toml:"day"`
+	Scale       scaleSection       `toml:"scale"`
+	Load        loadSection        `toml:"load"`
+	Net         netSection         `toml:"net"`
+	Front       frontSection       `toml:"front"`
+	Clients     clientSection      `toml:"clients"`
+	Discovery   discoverySection   `toml:"discovery"`
+	Allow       allowSection       `toml:"allow"`
+	Rules       ruleSection        `toml:"rules"`
+	Goal        goalSection        `toml:"goal"`
+	Prices      priceSection       `toml:"prices"`
+	Tiers       []tierSection      `toml:"tier"`
+	Classes     []classSection     `toml:"class"`
+	Tenants     []tenantSection    `toml:"tenant,omitempty"`
+	Troubles    []troubleSection   `toml:"trouble"`
+	Connections connectionsSection `toml:"fam"`
 }
 
 type daySection struct {
-	Length      span   `toml:"length_s"`
-	Tick        int    `toml:"tick_ms"`
-	MaxRequests int    `toml:"max_requests"`
-	Troubles    span   `toml:"troubles"`
-	InStep      []bool `toml:"in_step"`
-	StartSpread span   `toml:"start_spread_ms"`
+	Length      floatRange `toml:"length_s"`
+	Tick        int        `toml:"tick_ms"`
+	MaxRequests int        `toml:"max_requests"`
+	Troubles    floatRange `toml:"troubles"`
+	InStep      []bool     `toml:"in_step"`
+	StartSpread floatRange `toml:"start_spread_ms"`
 }
 
 type scaleSection struct {
-	Servers       counts `toml:"servers"`
-	Balancers     counts `toml:"balancers"`
-	BigServers    counts `toml:"big_servers"`
-	BigBalancers  counts `toml:"big_balancers"`
-	TwinServers   int    `toml:"twin_servers"`
-	TwinBalancers int    `toml:"twin_balancers"`
+	Servers       intRange `toml:"servers"`
+	Balancers     intRange `toml:"balancers"`
+	BigServers    intRange `toml:"big_servers"`
+	BigBalancers  intRange `toml:"big_balancers"`
+	TwinServers   int      `toml:"twin_servers"`
+	TwinBalancers int      `toml:"twin_balancers"`
 }
 
 type loadSection struct {
-	Quiet          span     `toml:"quiet"`
-	Trouble        span     `toml:"trouble"`
-	Overload       span     `toml:"overload"`
-	Big            span     `toml:"big"`
-	Shape          []string `toml:"shape"`
-	Swing          span     `toml:"swing"`
-	ZoneSkew       span     `toml:"zone_skew"`
-	Hints          string   `toml:"hints"`
-	WorthBy        string   `toml:"worth_by"`
-	OverShareWorth float64  `toml:"over_share_worth,omitempty"`
-	Quota          *span    `toml:"quota_of_capacity,omitempty"`
+	Quiet          floatRange  `toml:"quiet"`
+	Trouble        floatRange  `toml:"trouble"`
+	Overload       floatRange  `toml:"overload"`
+	Big            floatRange  `toml:"big"`
+	Shape          []string    `toml:"shape"`
+	Swing          floatRange  `toml:"swing"`
+	ZoneSkew       floatRange  `toml:"zone_skew"`
+	Hints          string      `toml:"hints"`
+	WorthBy        string      `toml:"worth_by"`
+	OverShareWorth float64     `toml:"over_share_worth,omitempty"`
+	Quota          *floatRange `toml:"quota_of_capacity,omitempty"`
 }
 
 type netSection struct {
-	Zones      []string `toml:"zones"`
-	Same       span     `toml:"same_ms"`
-	Cross      span     `toml:"cross_ms"`
-	Client     span     `toml:"client_ms"`
-	Jitter     span     `toml:"jitter"`
-	ServerSkew span     `toml:"server_skew"`
+	Zones      []string   `toml:"zones"`
+	Same       floatRange `toml:"same_ms"`
+	Cross      floatRange `toml:"cross_ms"`
+	Client     floatRange `toml:"client_ms"`
+	Jitter     floatRange `toml:"jitter"`
+	ServerSkew floatRange `toml:"server_skew"`
 }
 
 type frontSection struct {
-	Entry  string `toml:"entry"`
-	Notice span   `toml:"notice_s"`
+	Entry  string     `toml:"entry"`
+	Notice floatRange `toml:"notice_s"`
 }
 
 type clientSection struct {
-	Retries       span     `toml:"retries"`
-	TryShare      float64  `toml:"try_share"`
-	Backoff       []string `toml:"backoff"`
-	Honour        span     `toml:"honour"`
-	BackoffMS     span     `toml:"backoff_ms"`
-	MaxRetryAfter int      `toml:"max_retry_after_ms"`
-	Impatient     span     `toml:"impatient"`
-	MarksRetry    bool     `toml:"marks_retry"`
+	Retries       floatRange `toml:"retries"`
+	TryShare      float64    `toml:"try_share"`
+	Backoff       []string   `toml:"backoff"`
+	Honour        floatRange `toml:"honour"`
+	BackoffMS     floatRange `toml:"backoff_ms"`
+	MaxRetryAfter int        `toml:"max_retry_after_ms"`
+	Impatient     floatRange `toml:"impatient"`
+	MarksRetry    bool       `toml:"marks_retry"`
 }
 
-type discovery struct {
-	Mode         string `toml:"mode"`
-	Notice       span   `toml:"notice_s"`
-	SilentNotice span   `toml:"silent_notice_s"`
-	Add          span   `toml:"add_s"`
-	Period       span   `toml:"period_ms"`
-	Spread       span   `toml:"spread_ms"`
-	Capacity     *span  `toml:"capacity,omitempty"` // this and the rest only where it is asked
-	CallLines    *span  `toml:"call_lines,omitempty"`
-	Timeout      int    `toml:"timeout_ms,omitempty"`
+type discoverySection struct {
+	Mode         string      `toml:"mode"`
+	Notice       floatRange  `toml:"notice_s"`
+	SilentNotice floatRange  `toml:"silent_notice_s"`
+	Add          floatRange  `toml:"add_s"`
+	Period       floatRange  `toml:"period_ms"`
+	Spread       floatRange  `toml:"spread_ms"`
+	Capacity     *floatRange `toml:"capacity,omitempty"` // this and the following only where balancers ask for the list
+	CallLines    *floatRange `toml:"call_lines,omitempty"`
+	Timeout      int         `toml:"timeout_ms,omitempty"`
 }
 
 type allowSection struct {
--- a/internal/sitegen/sitegen.go
+++ b/internal/sitegen/sitegen.go
@@ -1,7 +1,7 @@
-// Package sitegen draws deployments that nobody has looked at: the operators' site file, TOML, from a seed alone. It is
-// pure. Every value lies within the ranges that the operators' pages and their own deployments show; names of classes,
-// tenants and zones are neutral words. The program must not be fitted to one deployment, so the drawn ones differ in the
-// axes that its settings turn on (Axes).
+// Package sitegen generates random deployments: the operators' site file, in TOML, from a seed alone. It is pure. The
+// program must not be tuned to one deployment, so the generated ones differ along the axes to which its settings
+// respond (Axes). Every value lies within the ranges that the operators' documentation and their own deployments show.
+// The names of classes, tenants and zones are neutral words.
 package sitegen
 
 import (
@@ -12,37 +12,37 @@
 	"github.com/pelletier/go-toml/v2"
 )
 
-// Site is a drawn deployment.
+// Site is a generated deployment.
 type Site struct {
-	Name string // of the deployment, its folder and its file
+	Name string // name of the deployment, its folder and its file
 	Axes Axes
 	TOML []byte
 }
 
-// CompanionFiles names the files that the site file needs beside it. They are the words of the protocol, which every site speaks,
-// and so are not drawn.
+// CompanionFiles are the files that must lie beside the site file. They describe the protocol, which is the same for
+// every site, and so are not generated.
 var CompanionFiles = []string{"wire.json", "real.json"}
 
-// Generate makes the deployment of a seed: the same bytes for the same seed.
+// Generate returns the deployment of a seed. The same seed always gives the same bytes.
 func Generate(seed uint64) (*Site, error) {
-	d := &dice{newRand(seed)}
-	axes := drawAxes(d)
-	f := draft(d, &axes)
+	rng := &sampler{newRand(seed)}
+	axes := drawAxes(rng)
+	f := drawSiteFile(rng, &axes)
 	body, err := toml.Marshal(f)
 	if err != nil {
 		return nil, fmt.Errorf("site of seed %d: %w", seed, err)
 	}
-	text := comment(seed, &axes) + "\n" + string(body)
+	text := headerComment(seed, &axes) + "\n" + string(body)
 	return &Site{Name: f.Name, Axes: axes, TOML: []byte(text)}, nil
 }
 
-func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, stream)) }
+func newRand(seed uint64) *rand.Rand { return rand.New(rand.NewPCG(seed, seedStream)) }
 
-// stream keeps these draws apart from others of the same seed.
-const stream = 0x517e
+// seedStream keeps these random numbers apart from other uses of the same seed.
+const seedStream = 0x517e
 
-// comment is the paragraph at the top of the file.
-func comment(seed uint64, a *Axes) string {
+// headerComment is the paragraph at the top of the file.
+func headerComment(seed uint64, a *Axes) string {
 	words := strings.Fields(fmt.Sprintf("Written by `bin/lab site --seed %d`; not to be edited. What it covers: %s.", seed, a))
 	var text strings.Builder
 	line := "#"
@@ -57,4 +57,5 @@
 	return text.String()
 }
 
+// commentWidth is the length of the longest line in the header comment.
 const commentWidth = 120
--- a/internal/sitegen/sitegen_test.go
+++ b/internal/sitegen/sitegen_test.go
@@ -10,48 +10,49 @@
 	"pgregory.net/rapid"
 )
 
-func drawn(t *rapid.T) (*Site, *file) {
+func generate(t *rapid.T) (*Site, *siteFile) {
 	seed := rapid.Uint64().Draw(t, "seed")
 	site, err := Generate(seed)
 	require.NoError(t, err)
 	again, err := Generate(seed)
 	require.NoError(t, err)
 	require.Equal(t, string(site.TOML), string(again.TOML), "the same bytes for the same seed")
-	f := &file{}
+	f := &siteFile{}
 	strict := toml.NewDecoder(bytes.NewReader(site.TOML)).DisallowUnknownFields()
 	require.NoError(t, strict.Decode(f))
 	return site, f
 }
 
-// Danger: a site outside of what the operators' pages name shows faults that no operator could meet, or is refused.
-func TestAnySeedStaysWithinThePages(t *testing.T) {
+// A site outside the ranges in the operators' documentation would show faults that no operator can meet, or be refused
+// by the bench.
+func TestGeneratedSitesStayWithinDocumentedRanges(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		site, f := drawn(t)
+		site, f := generate(t)
 		assert.Equal(t, site.Name, f.Name)
 		assert.Equal(t, f.Allow.Probes, site.Axes.Probes)
-		assert.Contains(t, []string{"pass", "proxy"}, f.Standing.Mode)
-		assert.Contains(t, []string{"none", "at_once"}, f.Standing.GoAway)
-		assert.Contains(t, []float64{0, 3}, f.Standing.GroupCost)
+		assert.Contains(t, []string{"pass", "proxy"}, f.Connections.Mode)
+		assert.Contains(t, []string{"none", "at_once"}, f.Connections.GoAway)
+		assert.Contains(t, []float64{0, 3}, f.Connections.GroupCost)
 		assert.True(t, 2 <= f.Allow.MaxAttempts && f.Allow.MaxAttempts <= 6)
 		assert.True(t, 250 <= f.Rules.DrainGrace && f.Rules.DrainGrace <= 1000)
 		assert.True(t, 8 <= f.Allow.CPU && f.Allow.CPU <= 15)
 		assert.True(t, 1 <= len(f.Net.Zones) && len(f.Net.Zones) <= 4)
-		assertDifferent(t, f.Net.Zones)
+		assertDistinct(t, f.Net.Zones)
 		require.Len(t, f.Tiers, 1, "a site of connections has one tier")
 		if len(f.Tiers[0].Report.Fields) > 0 {
 			assert.Equal(t, "probe", f.Tiers[0].Report.How)
-			assert.True(t, f.Allow.Probes, "a report comes as the answer to a probe")
+			assert.True(t, f.Allow.Probes, "reports are sent as answers to probes")
 		}
-		assert.Equal(t, f.Discovery.Mode == "ask", f.Discovery.Capacity != nil, "an agent has no capacity")
+		assert.Equal(t, f.Discovery.Mode == "ask", f.Discovery.Capacity != nil, "only a discovery service that is asked has a capacity")
 	})
 }
 
-// Danger: the bench refuses keyed and unsafe classes in a site's file.
-func TestClassesOfAnySeed(t *testing.T) {
+// The bench refuses a site file with keyed or unsafe classes.
+func TestGeneratedClassesAreAccepted(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		_, f := drawn(t)
-		require.Len(t, f.Standing.Classes, len(f.Classes), "each class has its use, in order")
-		assert.Equal(t, span{1, 1}, f.Standing.Classes[0].Load, "the first is the yardstick")
+		_, f := generate(t)
+		require.Len(t, f.Connections.Classes, len(f.Classes), "one entry for each class, in order")
+		assert.Equal(t, floatRange{1, 1}, f.Connections.Classes[0].Load, "the first class is the reference")
 		var names []string
 		for _, c := range f.Classes {
 			assert.Equal(t, "safe", c.Effect)
@@ -59,35 +60,35 @@
 			assert.Less(t, c.Aim, c.Deadline)
 			names = append(names, c.Name)
 		}
-		assertDifferent(t, names)
+		assertDistinct(t, names)
 		names = nil
 		share := 0.0
 		for _, tenant := range f.Tenants {
 			names, share = append(names, tenant.Name), share+tenant.Share
 		}
-		assertDifferent(t, names)
+		assertDistinct(t, names)
 		if len(f.Tenants) > 0 {
 			assert.InDelta(t, 1, share, 1e-9)
 		}
 	})
 }
 
-func TestDrawnRangesLieWithinTheirs(t *testing.T) {
+func TestSubrangesLieWithinTheirRange(t *testing.T) {
 	rapid.Check(t, func(t *rapid.T) {
-		d := &dice{newRand(rapid.Uint64().Draw(t, "seed"))}
+		rng := &sampler{newRand(rapid.Uint64().Draw(t, "seed"))}
 		low := rapid.Float64Range(0, 1000).Draw(t, "low")
-		in := span{low, low + rapid.Float64Range(0, 1000).Draw(t, "width")}
-		got := d.within(in)
-		assert.True(t, in[0] <= got[0] && got[0] <= got[1] && got[1] <= in[1], "%v in %v", got, in)
-		v := d.value(in)
-		assert.True(t, in[0] <= v && v <= in[1], "%v in %v", v, in)
-		whole := counts{int(in[0]), int(in[1])}
-		some := d.countsWithin(whole)
-		assert.True(t, whole[0] <= some[0] && some[0] <= some[1] && some[1] <= whole[1], "%v in %v", some, whole)
+		from := floatRange{low, low + rapid.Float64Range(0, 1000).Draw(t, "width")}
+		got := rng.subrange(from)
+		assert.True(t, from[0] <= got[0] && got[0] <= got[1] && got[1] <= from[1], "%v in %v", got, from)
+		v := rng.valueIn(from)
+		assert.True(t, from[0] <= v && v <= from[1], "%v in %v", v, from)
+		countRange := intRange{int(from[0]), int(from[1])}
+		subrange := rng.countSubrange(countRange)
+		assert.True(t, countRange[0] <= subrange[0] && subrange[0] <= subrange[1] && subrange[1] <= countRange[1], "%v in %v", subrange, countRange)
 	})
 }
 
-func assertDifferent(t *rapid.T, names []string) {
+func assertDistinct(t *rapid.T, names []string) {
 	seen := map[string]bool{}
 	for _, name := range names {
 		assert.False(t, seen[name], "%s twice", name)
