--- a/internal/placement/branch.go
+++ b/internal/placement/branch.go
@@ -38,7 +38,8 @@
 }
 
 func (s *search) newBrancher(d *dual) *brancher {
-	b := &brancher{search: s, dual: d, current: s.newState(s.emptyPlacement()), loss: make([]float64, len(s.hostIndexes)), complete: true}
+	b := &brancher{search: s, dual: d, current: s.newState(s.emptyPlacement()),
+		loss: make([]float64, len(s.hostIndexes)), complete: true}
 	for n := range s.flightLoad {
 		b.options = append(b.options, b.listOptions(n))
 	}
--- a/internal/placement/check.go
+++ b/internal/placement/check.go
@@ -112,7 +112,8 @@
 		c.addError("price piece: %v; want 0 or more loads", p.PerHostOverhead)
 	}
 	if !(p.MaxUtilisation > 0 && p.MaxUtilisation <= 1) || !(p.CautionErrors >= 0 && p.CautionErrors <= maxCautionErrors) {
-		c.addError("fill %v, caution %v; want a fill above 0 and up to 1, and a caution from 0 to 5", p.MaxUtilisation, p.CautionErrors)
+		c.addError("fill %v, caution %v; want a fill above 0 and up to 1, and a caution from 0 to 5",
+			p.MaxUtilisation, p.CautionErrors)
 	}
 }
 
--- a/internal/placement/estimate.go
+++ b/internal/placement/estimate.go
@@ -87,7 +87,8 @@
 			capacity = (ownPrecision*ownCapacity + kindPrecision*prior.mean) / (ownPrecision + kindPrecision)
 			stdErr = math.Sqrt(1 / (ownPrecision + kindPrecision))
 		}
-		out = append(out, Host{ID: id, Room: h.room, Kind: h.kind, Capacity: capacity, CapacityError: min(stdErr/capacity, maxCapacityError)})
+		out = append(out, Host{ID: id, Room: h.room, Kind: h.kind, Capacity: capacity,
+			CapacityError: min(stdErr/capacity, maxCapacityError)})
 	}
 	return out
 }
--- a/internal/placement/flow.go
+++ b/internal/placement/flow.go
@@ -38,7 +38,8 @@
 	slices.SortFunc(demand, func(a, b Demand) int { return cmp.Or(cmp.Compare(b.Worth, a.Worth), cmp.Compare(a.Room, b.Room)) })
 	overflow := overflowFlow(rooms, usable, demand, crossing)
 	if len(rooms) <= maxProgrammeRooms {
-		if f, err := linearProgramme(rooms, usable, demand, crossing); err == nil && f.Value >= overflow.Value-tolerance*math.Abs(overflow.Value) {
+		if f, err := linearProgramme(rooms, usable, demand, crossing); err == nil &&
+			f.Value >= overflow.Value-tolerance*math.Abs(overflow.Value) {
 			return f
 		}
 	}
--- a/internal/placement/local_search.go
+++ b/internal/placement/local_search.go
@@ -31,7 +31,8 @@
 		return better // on large problems, one hill climb takes all the time that is available
 	}
 	for range perturbations {
-		if s.finished() || s.limit.MaxSteps > 0 && s.steps > s.limit.MaxSteps*3/4 || s.bound-s.bestValue <= tolerance*math.Abs(s.bound) {
+		if s.finished() || s.limit.MaxSteps > 0 && s.steps > s.limit.MaxSteps*3/4 ||
+			s.bound-s.bestValue <= tolerance*math.Abs(s.bound) {
 			break
 		}
 		st := s.newState(s.perturbed())
--- a/internal/placement/new_plan.go
+++ b/internal/placement/new_plan.go
@@ -60,7 +60,9 @@
 	for _, h := range p.Hosts {
 		known[h.ID] = true
 	}
-	return slices.ContainsFunc(solution.Flights, func(fl FlightPlacement) bool { return len(fl.Loads) > 0 && !known[fl.Loads[0].Host] })
+	return slices.ContainsFunc(solution.Flights, func(fl FlightPlacement) bool {
+		return len(fl.Loads) > 0 && !known[fl.Loads[0].Host]
+	})
 }
 
 // carrierCell is a pair of a carrier and a cell.
--- a/internal/placement/parse.go
+++ b/internal/placement/parse.go
@@ -109,7 +109,8 @@
 	case p.Created.Unix() <= 0 || p.Created.Year() > maxYear:
 		return c.errorAt("born", "born %v: want a time after 1970 and up to the year 2200", p.Created)
 	case p.HoldTime < 0 || p.FadeTime < 0 || p.HoldTime > maxDuration || p.FadeTime > maxDuration:
-		return c.errorAt("holds", "holds %v, fades %v; want durations from 0 to a year", time.Duration(p.HoldTime), time.Duration(p.FadeTime))
+		return c.errorAt("holds", "holds %v, fades %v; want durations from 0 to a year",
+			time.Duration(p.HoldTime), time.Duration(p.FadeTime))
 	case len(p.Hosts) > maxHosts || len(p.Flights) > maxFlights:
 		return c.errorAt("hosts", "%d hosts, %d flights; want at most %d and %d", len(p.Hosts), len(p.Flights), maxHosts, maxFlights)
 	}
--- a/internal/placement/room_weights.go
+++ b/internal/placement/room_weights.go
@@ -28,7 +28,8 @@
 			continue
 		}
 		load := c.load + hostsPerKey*p.prices.PerHostOverhead*c.load/partLoad[[2]int{c.flight, c.room}]
-		worthLevel := int(math.Round(2 * math.Log2(max(c.worth/load, 1e-12)))) // levels of worth per load, in steps of a factor of the square root of two
+		// Demand is grouped by worth per load, in steps of a factor of the square root of two.
+		worthLevel := int(math.Round(2 * math.Log2(max(c.worth/load, 1e-12))))
 		key := [2]int{c.room, max(min(worthLevel, 12), -12)}
 		d := demandAt[key]
 		if d == nil {
--- a/internal/placement/solve.go
+++ b/internal/placement/solve.go
@@ -19,7 +19,7 @@
 )
 
 // SearchLimit bounds a search. Steps count evaluated placements, and are the same on every machine. Stop is called
-// regularly and ends the search early.
+// regularly, and ends the search early when it returns true.
 type SearchLimit struct {
 	MaxSteps int                                   // 0: no limit
 	Stop     func() bool                           // nil: never stops early
--- a/internal/placement/state.go
+++ b/internal/placement/state.go
@@ -25,8 +25,9 @@
 }
 
 func (p *problem) newState(hostOf []int32) *state {
-	s := &state{problem: p, hostOf: slices.Clone(hostOf), piecesOn: make([][]int32, len(p.hostIndexes)), hostWorth: make([]float64, len(p.hostIndexes)),
-		freeLoad: slices.Clone(p.usable), flightStamp: make([]int32, len(p.flightLoad))}
+	s := &state{problem: p, hostOf: slices.Clone(hostOf), piecesOn: make([][]int32, len(p.hostIndexes)),
+		hostWorth: make([]float64, len(p.hostIndexes)), freeLoad: slices.Clone(p.usable),
+		flightStamp: make([]int32, len(p.flightLoad))}
 	for i, h := range hostOf {
 		if h != none {
 			s.piecesOn[h] = append(s.piecesOn[h], int32(i))
--- a/internal/placement/value.go
+++ b/internal/placement/value.go
@@ -81,11 +81,13 @@
 
 // hostDetail holds the components of the value of a host.
 type hostDetail struct {
-	servedWorth, crossingCost, wasteCost, moveCost, crossedWorth, shedWorth, shedLoad float64
-	flights                                                                           int
-	full                                                                              bool
-	freeLoad                                                                          float64 // load that still fits; below 0 where the host is overfull
-	marginalGain                                                                      float64 // gain per load of the first piece that a full host does not serve completely
+	servedWorth, crossingCost, wasteCost, moveCost float64
+	crossedWorth, shedWorth, shedLoad              float64
+
+	flights      int // that have a piece there
+	full         bool
+	freeLoad     float64 // load that still fits; below 0 where the host is overfull
+	marginalGain float64 // gain per load of the first piece that a full host does not serve completely
 }
 
 // hostValue is the value of a host with the given pieces on it. Only the share of a piece that is served counts, with
--- a/internal/sitegen/draw_parts.go
+++ b/internal/sitegen/draw_parts.go
@@ -127,10 +127,11 @@
 func drawTroubles(rng *sampler, a *Axes) []troubleSection {
 	all := []troubleSection{
 		{Name: "crash", Length: floatRange{9.4, 22}, Part: new(rng.subrange(floatRange{0.056, 0.25}))},
-		{Name: "fast_errors", Length: floatRange{9.8, 25}, Part: new(rng.subrange(floatRange{0.064, 0.2})), Size: new(rng.subrange(floatRange{0.4, 0.91}))},
+		{Name: "fast_errors", Length: floatRange{9.8, 25}, Part: new(rng.subrange(floatRange{0.064, 0.2})),
+			Size: new(rng.subrange(floatRange{0.4, 0.91}))},
 		{Name: "hot_key", Length: floatRange{5.2, 25}, Size: new(rng.subrange(floatRange{0.045, 0.23}))},
-		{Name: "deploy", Length: floatRange{39, 23}, Part: new(rng.subrange(floatRange{0.47, 0.99})), Size: new(rng.subrange(floatRange{0.052, 0.2})),
-			Extra: new(rng.subrange(floatRange{2.4, 5.8}))},
+		{Name: "deploy", Length: floatRange{39, 23}, Part: new(rng.subrange(floatRange{0.47, 0.99})),
+			Size: new(rng.subrange(floatRange{0.052, 0.2})), Extra: new(rng.subrange(floatRange{2.4, 5.8}))},
 		{Name: "reconnect", Length: floatRange{2.4, 0.29}, Size: new(rng.subrange(floatRange{0.16, 0.57}))},
 	}
 	if !a.ListPushed {
