--- a/internal/net/acceptfailure_test.go
+++ b/internal/net/acceptfailure_test.go
@@ -12,24 +12,24 @@
 	"golang.org/x/sys/unix"
 )
 
-// limitDescriptors sets how many descriptors this process may open; what is open stays open.
-func limitDescriptors(t *testing.T, most uint64) {
+// limitDescriptors sets the descriptor limit of this process. Open descriptors stay open.
+func limitDescriptors(t *testing.T, limit uint64) {
 	var limits unix.Rlimit
 	require.NoError(t, unix.Getrlimit(unix.RLIMIT_NOFILE, &limits))
-	limits.Cur = most
+	limits.Cur = limit
 	require.NoError(t, unix.Setrlimit(unix.RLIMIT_NOFILE, &limits))
 }
 
-// processorTime is how much this process has used.
+// processorTime is the CPU time used by this process.
 func processorTime(t *testing.T) time.Duration {
 	var usage unix.Rusage
 	require.NoError(t, unix.Getrusage(unix.RUSAGE_SELF, &usage))
 	return time.Duration(usage.Utime.Nano() + usage.Stime.Nano())
 }
 
-// Accept fails for want of a descriptor (EMFILE) while a client waits. What stands goes on, the loop does not spin, and the client is
-// served once there are descriptors again.
-func TestAcceptFailsForAMoment(t *testing.T) {
+// Accept fails for want of a descriptor (EMFILE) while a client waits. Open connections go on, the loop does not spin,
+// and the client is served once descriptors are available again.
+func TestAcceptRecoversFromDescriptorShortage(t *testing.T) {
 	r := newRig(t)
 	r.steps("a connect", "a send OPEN 1 a c=lookup,d=4000", "d accept", "d expect OPEN *", "d send UP r1", "a expect UP r1")
 	var limits unix.Rlimit
@@ -47,7 +47,7 @@
 	for begin := time.Now(); time.Since(begin) < 300*time.Millisecond; time.Sleep(10 * time.Millisecond) {
 		r.steps("a send hello", "d expect hello", "d send hello yourself", "a expect hello yourself")
 	}
-	assert.Less(t, processorTime(t)-before, 150*time.Millisecond, "the loop spins")
+	assert.Less(t, processorTime(t)-before, 150*time.Millisecond, "CPU time used while accept fails: the loop spins")
 
 	limitDescriptors(t, limits.Cur)
 	c, err := stdnet.FileConn(file)
@@ -59,8 +59,9 @@
 		"a send still there", "d expect still there", "wait count client connections accepted 2")
 }
 
-// At its end the balancer looks whether clients wait to be accepted. Where it has no descriptor to look with, it is asked again.
-func TestShutWithoutADescriptor(t *testing.T) {
+// Before it ends, the node checks whether clients wait to be accepted. If it has no descriptor for the check, it must
+// not count the listener as closed.
+func TestCloseListenerWithoutDescriptor(t *testing.T) {
 	r := newRig(t)
 	r.start()
 	var limits unix.Rlimit
@@ -70,9 +71,9 @@
 	r.node.post(func(time.Duration) {
 		defer close(done)
 		limitDescriptors(t, 1)
-		assert.False(t, r.node.shut())
+		assert.False(t, r.node.closeListener())
 		limitDescriptors(t, limits.Cur)
-		assert.True(t, r.node.shut())
+		assert.True(t, r.node.closeListener())
 	})
 	<-done
 }
--- a/internal/net/admin.go
+++ b/internal/net/admin.go
@@ -12,35 +12,38 @@
 	"tealtiller/internal/deadline"
 )
 
-// caller is the socket of one call at the second address. It is served on the loop that owns what it asks about,
-// so its figures have no age.
-type caller struct {
+// adminConn is the socket of one request at the second address. It is served on the loop that owns the state, so its
+// metrics are always current.
+type adminConn struct {
 	node     *Node
 	conn     gnet.Conn // nil once closed
 	answered bool
-	limit    *deadline.Deadline
+	timeout  *deadline.Deadline
 }
 
-// mostCallers is how many calls have a descriptor at a time. Danger: those that connect and ask nothing would take
-// the descriptors of clients, or keep others from asking; of too many the oldest goes that has not been answered.
-// An operator's patience for a call is 4 s, so callPatience is longer.
-const mostCallers, callPatience = 12, 5 * time.Second
+// maxAdminConns limits the connections to the second address. Without it, connections that send no request would take
+// descriptors away from clients or keep others from being served. Above the limit, the oldest connection that has not
+// been answered is closed.
+const maxAdminConns = 12
 
-func (c *caller) opened(now time.Duration, conn gnet.Conn) gnet.Action {
+// adminConnTimeout is how long a connection may stay open. It exceeds the operators' own timeout of 4 s.
+const adminConnTimeout = 5 * time.Second
+
+func (c *adminConn) opened(now time.Duration, conn gnet.Conn) gnet.Action {
 	n := c.node
-	n.count.Add("calls at the second address")
+	n.counters.Add("calls at the second address")
 	c.conn = conn
-	if len(n.callers) >= mostCallers {
-		oldest := max(slices.IndexFunc(n.callers, func(o *caller) bool { return !o.answered }), 0)
-		n.count.Add("calls dropped: too many")
-		n.end(n.callers[oldest].conn, false)
+	if len(n.adminConns) >= maxAdminConns {
+		oldest := max(slices.IndexFunc(n.adminConns, func(other *adminConn) bool { return !other.answered }), 0)
+		n.counters.Add("calls dropped: too many")
+		n.closeConn(n.adminConns[oldest].conn, false)
 	}
-	n.callers = append(n.callers, c)
-	c.limit = n.deadlines.Set(now+callPatience, func(time.Duration) { n.end(c.conn, false) })
+	n.adminConns = append(n.adminConns, c)
+	c.timeout = n.deadlines.Set(now+adminConnTimeout, func(time.Duration) { n.closeConn(c.conn, false) })
 	return gnet.None
 }
 
-func (c *caller) traffic(now time.Duration) {
+func (c *adminConn) traffic(now time.Duration) {
 	if c.conn == nil {
 		return
 	}
@@ -56,9 +59,9 @@
 	body := http.StatusText(status) + "\n"
 	switch path {
 	case admin.StatsPath:
-		body = c.node.figures(now).Text()
+		body = c.node.metrics(now).Text()
 	case admin.HealthPath:
-		if reason := c.node.unready(); reason != "" {
+		if reason := c.node.notReadyReason(); reason != "" {
 			status, body = http.StatusServiceUnavailable, reason+"\n"
 		}
 	}
@@ -68,48 +71,49 @@
 		return
 	}
 	_, _ = c.conn.Discard(-1)
-	// Danger: closing at once, with bytes of the caller's unread, would reset the connection and lose the answer.
+	// Closing at once, with unread input, would reset the connection and lose the answer.
 	if c.conn.OutboundBuffered() == 0 && syscall.Shutdown(c.conn.Fd(), syscall.SHUT_WR) == nil {
-		c.node.deadlines.Stop(c.limit)
-		c.limit = c.node.deadlines.Set(now+lingering, func(time.Duration) { c.node.end(c.conn, false) })
+		c.node.deadlines.Stop(c.timeout)
+		c.timeout = c.node.deadlines.Set(now+lingerTimeout, func(time.Duration) { c.node.closeConn(c.conn, false) })
 	}
 }
 
-func (c *caller) detach(bool) { c.conn = nil }
+func (c *adminConn) detach(bool) { c.conn = nil }
 
-func (c *caller) closed(time.Duration, bool) {
+func (c *adminConn) closed(time.Duration, bool) {
 	n := c.node
-	n.deadlines.Stop(c.limit)
-	n.callers = slices.DeleteFunc(n.callers, func(o *caller) bool { return o == c })
+	n.deadlines.Stop(c.timeout)
+	n.adminConns = slices.DeleteFunc(n.adminConns, func(other *adminConn) bool { return other == c })
 }
 
-// unready tells why this process is not ready to serve; empty if it is. Danger: whoever hears yes may stop the
-// process that served before, so the list must be one that discovery has told this process; an agent that is silent is not
-// waited for.
-func (n *Node) unready() string {
+// notReadyReason returns why this process is not ready to serve, or an empty string. An operator may stop the previous
+// process once this one is ready, so discovery must have sent a list to this process. A pushed list is not waited for
+// indefinitely, since its agent may be silent.
+func (n *Node) notReadyReason() string {
 	switch {
-	case n.stopping:
+	case n.draining:
 		return "draining"
-	case n.count["discovery answers"] == 0 && (n.cfg.Settings.Policy.MustWatch || n.now() < n.listDue):
+	case n.counters["discovery answers"] == 0 && (n.cfg.Settings.Policy.MustWatch || n.now() < n.listWaitEnds):
 		return "no list of desk hosts from discovery yet"
 	}
 	return ""
 }
 
-// figures are made at each call.
-func (n *Node) figures(now time.Duration) admin.Metrics {
-	ends := n.table.AnswerCounts()
+// metrics collects the current values.
+func (n *Node) metrics(now time.Duration) admin.Metrics {
+	outcomes := n.table.AnswerCounts()
 	for class := range n.cfg.Settings.Policy.Classes {
-		ends[class] = ends[class] // also those that nobody has asked for yet
+		outcomes[class] = outcomes[class] // include classes without requests so far
 	}
-	f := admin.Metrics{Classes: ends, Attempts: n.count["attempts written"], Pending: n.table.Len(),
-		Reloads: n.count["configurations taken in"], ReloadErrors: n.count["configurations refused"]}
-	f.Members, f.Unavailable = n.table.MemberCounts(now)
-	f.HostList = admin.HostListMetrics{Revision: n.watch.status.revision, SinceAnswer: n.watch.unheard(now), Calls: n.count["discovery calls"],
-		FailedCalls: n.count["discovery calls failed"], AttemptsNotWritten: n.count["attempts not written: no longer allowed"]}
-	f.Plan = n.weigher.Status(now)
+	m := admin.Metrics{Classes: outcomes, Attempts: n.counters["attempts written"], Pending: n.table.Len(),
+		Reloads: n.counters["configurations taken in"], ReloadErrors: n.counters["configurations refused"]}
+	m.Members, m.Unavailable = n.table.MemberCounts(now)
+	m.HostList = admin.HostListMetrics{Revision: n.watch.status.revision, SinceAnswer: n.watch.sinceAnswer(now),
+		Calls: n.counters["discovery calls"], FailedCalls: n.counters["discovery calls failed"],
+		AttemptsNotWritten: n.counters["attempts not written: no longer allowed"]}
+	m.Plan = n.weigher.Status(now)
 	for _, c := range n.fleet.Stats(now) {
-		f.Cells = append(f.Cells, admin.CellMetrics(c))
+		m.Cells = append(m.Cells, admin.CellMetrics(c))
 	}
-	return f
+	return m
 }
--- a/internal/net/closing.go
+++ b/internal/net/closing.go
@@ -5,114 +5,118 @@
 	"time"
 )
 
-// There is one way to close a client's side: what lies unread is read first, and a request in it is taken; then the last
-// line is said, our sending ends, what still comes is thrown away, and the socket closes with the client's end, or after a
-// while. Danger: a close over unread bytes resets the connection: the request in them, or our last line, is lost with it.
-
-// mostSilent is how long a downstream socket may go without a whole command, from when it came or was last answered.
-// Danger: those that open by the hundred and say nothing, or drip, would keep the descriptors that clients need.
-// They are owed an answer within 3 s. A true client may take 2 s to write its line.
-const mostSilent = 2600 * time.Millisecond
-
-// noRequest is said to those who rest or drip. A request that crosses it is not sent on, and this is its answer.
-const noRequest = "ERR no request in time\r\n"
-
-// cancelled is said to a client that has ended its sending before its answer came. Nothing further is tried for it; but it may
-// still read, and its request was taken.
-const cancelled = "ERR ended before the answer\r\n"
-
-// idler tells whether a downstream socket is to go before another one.
-func (d *downstream) idler(other *downstream) bool {
-	if d.linger != other.linger { // it has had its last line
-		return d.linger
+// All client connections are closed in the same way: unread data is read first, and a request in it is handled; then
+// the last line is written, sending is shut down, further input is discarded, and the socket is closed when the client
+// closes its side, or after lingerTimeout. Closing a socket with unread data would reset the connection, and the
+// request in it or our last line would be lost.
+
+// defaultCommandTimeout is how long a downstream socket may go without a complete command after it connected or was
+// last answered. Without it, hundreds of connections that send nothing, or send slowly, would hold the descriptors
+// that clients need. Such connections must be answered within 3 s, and a genuine client may take 2 s to write its
+// line.
+const defaultCommandTimeout = 2600 * time.Millisecond
+
+// noRequestLine is the last line for idle or slow clients. It is also the answer to a request that crosses it, which
+// is not forwarded.
+const noRequestLine = "ERR no request in time\r\n"
+
+// cancelledLine is the last line for a client that ended its sending before its answer. No further attempt is made for
+// it, but its request was accepted and it may still read.
+const cancelledLine = "ERR ended before the answer\r\n"
+
+// closesBefore reports whether d is closed in preference to other when descriptors are short.
+func (d *downstream) closesBefore(other *downstream) bool {
+	if d.lingering != other.lingering { // its last line was written
+		return d.lingering
 	}
-	if mid, others := d.buffered() > 0, other.buffered() > 0; mid != others {
-		return others
+	if midLine, otherMidLine := d.buffered() > 0, other.buffered() > 0; midLine != otherMidLine {
+		return otherMidLine
 	}
-	return d.since < other.since
+	return d.silentSince < other.silentSince
 }
 
-// silent gives the client so long to say something; then its side is closed, with a last line.
-func (d *downstream) silent(now, most time.Duration, last string) {
-	d.node.deadlines.Stop(d.limit)
-	d.since = now
-	d.limit = d.node.deadlines.Set(now+most, func(now time.Duration) {
-		d.limit = nil
-		if d.conclude(now, last) {
-			d.node.count.Add("client connections closed: silent")
+// limitSilence closes the connection with lastLine unless the client sends a complete command within the limit.
+func (d *downstream) limitSilence(now, limit time.Duration, lastLine string) {
+	d.node.deadlines.Stop(d.silenceLimit)
+	d.silentSince = now
+	d.silenceLimit = d.node.deadlines.Set(now+limit, func(now time.Duration) {
+		d.silenceLimit = nil
+		if d.closeIdle(now, lastLine) {
+			d.node.counters.Add("client connections closed: silent")
 		}
 	})
 }
 
-// conclude closes the side of a client that rests, with a last line, and tells whether it does: not where a command that
-// lay unread goes on with it. Danger: a client may send its request in the very moment in which we close.
-func (d *downstream) conclude(now time.Duration, last string) bool {
-	if d.conn == nil || d.taken || d.ending {
+// closeIdle closes the connection of an idle client with lastLine, and reports whether it did. It does not if unread
+// data turns out to be a command: a client may send its request at the moment of the close.
+func (d *downstream) closeIdle(now time.Duration, lastLine string) bool {
+	if d.conn == nil || d.openReceived || d.closing {
 		return false
 	}
-	if since := d.since; d.pull() {
-		if d.traffic(now); d.conn == nil || d.taken || d.ending || d.since != since {
+	if since := d.silentSince; d.readAvailable() {
+		if d.traffic(now); d.conn == nil || d.openReceived || d.closing || d.silentSince != since {
 			return false
 		}
 	}
-	d.answer(now, last)
+	d.sendLastLine(now, lastLine)
 	return true
 }
 
-// say writes a line of our own.
-func (d *downstream) say(text string) { d.node.write(d.conn, []byte(text)) }
+// writeLine writes a line of the balancer's own.
+func (d *downstream) writeLine(text string) { d.node.write(d.conn, []byte(text)) }
 
-// malformed answers what makes no sense with one error line.
-func (d *downstream) malformed(now time.Duration, err error) {
-	d.node.count.Add("lines refused: malformed")
-	d.answer(now, "ERR "+err.Error()+"\r\n")
+// rejectMalformed answers invalid input with an error line and closes the connection.
+func (d *downstream) rejectMalformed(now time.Duration, err error) {
+	d.node.counters.Add("lines refused: malformed")
+	d.sendLastLine(now, "ERR "+err.Error()+"\r\n")
 }
 
-// answer says the last line to the client.
-func (d *downstream) answer(now time.Duration, text string) {
-	d.say(text)
-	d.finish(now)
+// sendLastLine writes the last line and closes the connection.
+func (d *downstream) sendLastLine(now time.Duration, text string) {
+	d.writeLine(text)
+	d.closeSending(now)
 }
 
-// lingering is how long a client has to end its side once ours has ended, and to read what it left in our buffer.
-const lingering = time.Second
+// lingerTimeout is how long a client has to read the buffered output and close its side after sending was shut down.
+const lingerTimeout = time.Second
 
-// finish ends our sending; the client's end closes the socket.
-func (d *downstream) finish(now time.Duration) {
-	d.ending = true
-	if d.conn == nil || d.linger {
+// closeSending ends our sending; the socket is closed when the client closes its side.
+func (d *downstream) closeSending(now time.Duration) {
+	d.closing = true
+	if d.conn == nil || d.lingering {
 		return
 	}
-	d.linger, d.since = true, now
-	d.node.deadlines.Stop(d.limit)
-	d.limit = d.node.deadlines.Set(now+lingering, func(time.Duration) { d.release() })
-	d.flush(now)
+	d.lingering, d.silentSince = true, now
+	d.node.deadlines.Stop(d.silenceLimit)
+	d.silenceLimit = d.node.deadlines.Set(now+lingerTimeout, func(time.Duration) { d.closeConn() })
+	d.shutdownWhenFlushed(now)
 }
 
-// flush ends our sending once all is written. Danger: gnet tries one write more when it closes; what then still lies in its
-// buffer, the last line with it, is lost.
-func (d *downstream) flush(now time.Duration) {
+// shutdownWhenFlushed shuts down sending once all output is written. On close gnet makes only one more attempt to
+// write; what is left in its buffer after that, including the last line, would be lost.
+func (d *downstream) shutdownWhenFlushed(now time.Duration) {
 	switch {
 	case d.conn == nil:
 	case d.conn.OutboundBuffered() > 0:
-		d.node.deadlines.Set(now+flushCheck, d.flush)
+		d.node.deadlines.Set(now+flushCheckInterval, d.shutdownWhenFlushed)
 	case syscall.Shutdown(d.conn.Fd(), syscall.SHUT_WR) != nil:
-		d.release()
+		d.closeConn()
 	}
 }
 
-// release closes the socket of a client that has had its last line. Danger: what came since must be read first.
-func (d *downstream) release() {
-	for range mostUnread {
-		if d.conn == nil || !d.pull() {
+// closeConn closes the socket of a client after its last line. Unread input is read first, since it would turn the
+// close into a reset.
+func (d *downstream) closeConn() {
+	for range maxFinalReads {
+		if d.conn == nil || !d.readAvailable() {
 			break
 		}
 		d.discard(-1)
 	}
-	d.node.end(d.conn, false)
+	d.node.closeConn(d.conn, false)
 }
 
-const flushCheck = 10 * time.Millisecond
+const flushCheckInterval = 10 * time.Millisecond
 
-// mostUnread is how often a socket is read before it is closed: a client that floods us ends by a reset.
-const mostUnread = 16
+// maxFinalReads is how often a socket is read before it is closed. A client that keeps sending is reset.
+const maxFinalReads = 16
--- a/internal/net/closing_test.go
+++ b/internal/net/closing_test.go
@@ -10,8 +10,8 @@
 	"github.com/stretchr/testify/require"
 )
 
-// A client that reads late has its last line too, though it lies behind more than the system takes at once.
-func TestLastLineBehindWhatIsBuffered(t *testing.T) {
+// A client that reads late gets its last line too, even if more output precedes it than the kernel buffers.
+func TestLastLineBehindBufferedOutput(t *testing.T) {
 	r := newRig(t)
 	for _, step := range []string{"a connect", "a send PING", "a expect PONG"} {
 		require.NoError(t, r.step(step))
@@ -24,7 +24,7 @@
 			for ; d.conn.OutboundBuffered() == 0; written += len(line) {
 				r.node.write(d.conn, line)
 			}
-			d.answer(now, "MOVE\r\n")
+			d.sendLastLine(now, "MOVE\r\n")
 		}
 	})
 	<-done
--- a/internal/net/delay.go
+++ b/internal/net/delay.go
@@ -9,160 +9,168 @@
 	"tealtiller/policy"
 )
 
-// delays keeps how long a message takes at each desk host, and tells the module once a second of those where
-// that is over a third of the shortest aim, and once more when it is back under. It is what was measured from
-// a client's line to the desk host's next, or what the desk host's own reports let expect, if that is more:
-// a crowded desk host may echo at once and still have work piled up.
-type delays struct {
-	third time.Duration
-	many  bool // balancers share the list, each of which knows next to nothing: see scale.Many
-	lags  map[string]*lag
+// delayMonitor tracks the message delay of each desk host. At most once a second it reports to the module the hosts
+// whose delay is over the threshold, and once more when a host is back below it. The delay is the larger of the
+// measured time from a client's line to the host's next line, and the delay expected from the host's load reports: a
+// crowded host may answer at once and still have a backlog.
+type delayMonitor struct {
+	threshold     time.Duration // a third of the shortest message target; 0 turns monitoring off
+	manyBalancers bool          // each of many balancers sees too little of a host: see scale.IsLargeFleet
+	hosts         map[string]*hostStatus
 }
 
-// lag is what is known of one desk host, while connections of ours stand there or it is known to be crowded.
-type lag struct {
-	probe    *probe
-	echo     time.Duration // the shortest from a line to the next, since the module was told
-	waiting  time.Duration // for how long a line has been without an answer, and all else silent
-	heardAt  time.Duration // when it last said anything, on any connection
-	missedAt time.Duration // when a probe last went unanswered
-	seen     bool          // at this look
-	fresh    bool          // set-ups have come up there since the last probe
-	probedAt time.Duration
-	report   report
-	told     bool // slow, as last told
-	toldAt   time.Duration
+// hostStatus is what is known of one desk host. It is kept while connections to the host are established or the host
+// is known to be crowded.
+type hostStatus struct {
+	probe          *probe
+	shortestEcho   time.Duration // shortest time from a client's line to the next line, since the last report to the module
+	unansweredFor  time.Duration // age of the oldest unanswered line, while the host sends nothing on any connection
+	lastReadAt     time.Duration // when data last arrived, on any connection
+	probeMissedAt  time.Duration // when a probe last went unanswered
+	inUse          bool          // has established connections, as of the current check
+	newConnections bool          // connections were established or dropped since the last probe
+	probedAt       time.Duration
+	report         loadReport
+	reportedSlow   bool // last reported to the module as slow
+	reportedAt     time.Duration
 }
 
-// look is how often desk hosts are looked at; noteEvery, how often the module is told at most.
-const look, noteEvery = 250 * time.Millisecond, time.Second
+// checkInterval is the time between two checks of all desk hosts, delayReportInterval the minimum time between two
+// reports on a host to the module.
+const (
+	checkInterval       = 250 * time.Millisecond
+	delayReportInterval = time.Second
+)
 
-func newDelays() delays { return delays{lags: map[string]*lag{}} }
+func newDelayMonitor() delayMonitor { return delayMonitor{hosts: map[string]*hostStatus{}} }
 
-// size takes how many desk hosts are listed, and tells it.
-func (s *delays) size(n *Node, now time.Duration) (listed int) {
+// updateListSize takes in the number of listed hosts, and returns it.
+func (m *delayMonitor) updateListSize(n *Node, now time.Duration) (listed int) {
 	listed, _ = n.table.MemberCounts(now)
-	s.many = scale.IsLargeFleet(n.cfg.Settings.Policy.Siblings, listed)
+	m.manyBalancers = scale.IsLargeFleet(n.cfg.Settings.Policy.Siblings, listed)
 	return listed
 }
 
-// aims takes the settings' message aims; without any, desk hosts are not looked at.
-func (s *delays) aims(set policy.Settings) {
-	s.third = 0
+// setThreshold derives the threshold from the message targets of the settings.
+func (m *delayMonitor) setThreshold(set policy.Settings) {
+	m.threshold = 0
 	for _, c := range set.Classes {
-		if c.MessageTarget > 0 && (s.third == 0 || c.MessageTarget/3 < s.third) {
-			s.third = c.MessageTarget / 3
+		if c.MessageTarget > 0 && (m.threshold == 0 || c.MessageTarget/3 < m.threshold) {
+			m.threshold = c.MessageTarget / 3
 		}
 	}
 }
 
-func (s *delays) next(n *Node, now time.Duration) {
-	n.deadlines.Set(now+look, func(now time.Duration) {
-		n.lookAtWallClock(now)
-		if s.third > 0 {
-			s.look(n, now)
+func (m *delayMonitor) scheduleCheck(n *Node, now time.Duration) {
+	n.deadlines.Set(now+checkInterval, func(now time.Duration) {
+		n.checkWallClock(now)
+		if m.threshold > 0 {
+			m.check(n, now)
 		}
-		s.next(n, now)
+		m.scheduleCheck(n, now)
 	})
 }
 
-func (s *delays) of(server string) *lag {
-	l := s.lags[server]
-	if l == nil {
-		l = &lag{}
-		s.lags[server] = l
+// host returns the status of a desk host, which is created if necessary.
+func (m *delayMonitor) host(server string) *hostStatus {
+	status := m.hosts[server]
+	if status == nil {
+		status = &hostStatus{}
+		m.hosts[server] = status
 	}
-	return l
+	return status
 }
 
-// measured takes how long a desk host's answer to a line took.
-func (s *delays) measured(server string, took time.Duration) {
-	if l := s.of(server); l.echo == 0 || took < l.echo {
-		l.echo = took
+// addEcho records how long a desk host took to answer a line.
+func (m *delayMonitor) addEcho(server string, took time.Duration) {
+	if status := m.host(server); status.shortestEcho == 0 || took < status.shortestEcho {
+		status.shortestEcho = took
 	}
 }
 
-// look probes the desk hosts at which connections of ours stand, where that is due, and forgets the others.
-// Danger: one that drops all that we send it holds none of ours, and would look empty again at each look; so
-// what is known to be crowded is kept until it no longer is, or answers no more, and the module has heard of that.
-func (s *delays) look(n *Node, now time.Duration) {
-	for _, l := range s.lags {
-		l.seen, l.waiting, l.report.open, l.report.since = false, 0, 0, 0
+// check probes the desk hosts with established connections, where a probe is due, and drops the status of the others.
+// A host that drops all connections has none of ours and would look empty again at each check; so a host known to be
+// crowded is kept until it is no longer crowded or does not answer, and the module was notified of that.
+func (m *delayMonitor) check(n *Node, now time.Duration) {
+	for _, status := range m.hosts {
+		status.inUse, status.unansweredFor, status.report.connections, status.report.openedSince = false, 0, 0, 0
 	}
 	for _, u := range n.upstreams.All() {
 		if u.up {
-			l := s.of(u.server)
-			l.seen = true
-			if l.report.open++; u.upAt > l.report.madeAt {
-				l.report.since++
+			status := m.host(u.server)
+			status.inUse = true
+			if status.report.connections++; u.upAt > status.report.madeAt {
+				status.report.openedSince++
 			}
-			if u.askedAt > l.heardAt {
-				l.waiting = max(l.waiting, now-u.askedAt)
+			if u.unansweredSince > status.lastReadAt {
+				status.unansweredFor = max(status.unansweredFor, now-u.unansweredSince)
 			}
 		}
 	}
-	standing := 0
-	for _, l := range s.lags {
-		standing += l.report.open
+	established := 0
+	for _, status := range m.hosts {
+		established += status.report.connections
 	}
-	listed := s.size(n, now)
-	spread := scale.IntervalFactor(n.cfg.Settings.Policy.Siblings, standing, listed)
-	for _, server := range slices.Sorted(maps.Keys(s.lags)) {
-		l := s.lags[server]
-		if !l.seen && !l.report.crowded(now) && !l.told && !l.probe.asking() {
-			l.probe.close()
-			delete(s.lags, server)
+	listed := m.updateListSize(n, now)
+	factor := scale.IntervalFactor(n.cfg.Settings.Policy.Siblings, established, listed)
+	for _, server := range slices.Sorted(maps.Keys(m.hosts)) {
+		status := m.hosts[server]
+		if !status.inUse && !status.report.isCrowded(now) && !status.reportedSlow && !status.probe.inProgress() {
+			status.probe.close()
+			delete(m.hosts, server)
 			continue
 		}
-		every := l.report.next()
-		if l.fresh {
-			every = probeEvery
+		interval := status.report.nextProbeAfter()
+		if status.newConnections {
+			interval = probeInterval
 		}
-		every = time.Duration(float64(every) * spread)
-		if l.waiting > 0 {
-			every = look
+		interval = time.Duration(float64(interval) * factor)
+		if status.unansweredFor > 0 {
+			interval = checkInterval
 		}
-		if n.cfg.Settings.ProbesAllowed && now-l.probedAt >= every && (l.seen || !s.many) { // many ask when they place
-			l.fresh, l.probedAt = false, now
-			n.ask(server, l, now)
+		// Many balancers probe hosts without connections only when they place a request.
+		if n.cfg.Settings.ProbesAllowed && now-status.probedAt >= interval && (status.inUse || !m.manyBalancers) {
+			status.newConnections, status.probedAt = false, now
+			n.probeHost(server, status, now)
 		}
-		s.tell(n, now, server, l)
+		m.reportDelay(n, now, server, status)
 	}
 }
 
-// shed takes that a desk host has dropped a connection that stood. Danger: it does so when too much has piled
-// up, before any report of it comes, and its clients are back within a second; the module must know by then.
-func (s *delays) shed(n *Node, now time.Duration, server string) {
-	l := s.of(server)
-	l.fresh = true // asked for its report at the next look
-	if l.report.shed(now) {
-		s.tell(n, now, server, l)
+// connectionDropped handles an established connection that a desk host has reset. A host does so when its backlog is
+// too large, before any report shows it; its clients reconnect within a second, and the module must know by then.
+func (m *delayMonitor) connectionDropped(n *Node, now time.Duration, server string) {
+	status := m.host(server)
+	status.newConnections = true // probes the host at the next check
+	if status.report.connectionDropped(now) {
+		m.reportDelay(n, now, server, status)
 	}
 }
 
-// silent is how long the desk host has left a line without an answer. Danger: a connection may fall silent alone;
-// to take its desk host to be slow for it would move all others that stand there. So a probe must have failed too.
-func (l *lag) silent(n *Node, now time.Duration) time.Duration {
-	if n.cfg.Settings.ProbesAllowed && l.missedAt < now-l.waiting {
+// silentFor is how long the desk host has left a line unanswered. A single connection may stall while its host is
+// healthy, and taking the host for slow would move all other clients there; so where probes are allowed, one must have
+// gone unanswered too.
+func (status *hostStatus) silentFor(n *Node, now time.Duration) time.Duration {
+	if n.cfg.Settings.ProbesAllowed && status.probeMissedAt < now-status.unansweredFor {
 		return 0
 	}
-	return l.waiting
+	return status.unansweredFor
 }
 
-// tell tells the module of a desk host, if that is due. What still waits for an answer counts by its age.
-func (s *delays) tell(n *Node, now time.Duration, server string, l *lag) {
-	if now-l.toldAt < noteEvery {
+// reportDelay reports the delay of a desk host to the module, if that is due. An unanswered line counts with its age.
+func (m *delayMonitor) reportDelay(n *Node, now time.Duration, server string, status *hostStatus) {
+	if now-status.reportedAt < delayReportInterval {
 		return
 	}
-	took := max(l.report.expected(now), l.echo, l.silent(n, now))
-	echo := l.echo
-	l.echo = 0
-	slow := took > s.third
-	if slow || l.told {
-		n.count.Add("delays told")
-		n.trace("delay-told", "host", server, "ms", took.Milliseconds(), "echo", echo, "x0", l.report.x0)
-		l.toldAt = now
+	took := max(status.report.expectedDelay(now), status.shortestEcho, status.silentFor(n, now))
+	echo := status.shortestEcho
+	status.shortestEcho = 0
+	slow := took > m.threshold
+	if slow || status.reportedSlow {
+		n.counters.Add("delays told")
+		n.trace("delay-told", "host", server, "ms", took.Milliseconds(), "echo", echo, "x0", status.report.load)
+		status.reportedAt = now
 		n.table.ObserveDelay(now, server, took)
 	}
-	l.told = slow
+	status.reportedSlow = slow
 }
--- a/internal/net/dial.go
+++ b/internal/net/dial.go
@@ -12,29 +12,30 @@
 	"tealtiller/policy"
 )
 
-const dialTimeout = 150 * time.Millisecond // where the settings tell none
+// defaultConnectTimeout applies where the settings have no connect timeout.
+const defaultConnectTimeout = 150 * time.Millisecond
 
-// begin dials a desk host off the loop and sends it the client's first line.
-func (n *Node) begin(d *downstream, server string, until time.Duration) error {
+// beginAttempt dials a desk host off the loop; the upstream socket then sends it the client's OPEN line.
+func (n *Node) beginAttempt(d *downstream, server string, until time.Duration) error {
 	address, ok := n.addresses[server]
 	switch {
 	case !ok:
 		return errors.New("no address of " + server)
-	case d.hungUp(): // the loop is about to hear of it, and ends the request
-		n.count.Add("attempts not begun: client gone")
+	case d.peerClosed(): // the loop is about to notice, and ends the request
+		n.counters.Add("attempts not begun: client gone")
 		return nil
-	case !n.spare(2): // danger: a dial without a descriptor would look like an ill host
-		n.count.Add("attempts not begun: no descriptors")
+	case !n.makeRoomFromIdle(2): // without descriptors the dial would fail and count against the desk host
+		n.counters.Add("attempts not begun: no descriptors")
 		return request.ErrNoDescriptors
 	}
-	u := &upstream{node: n, downstream: d, server: server, until: until, last: policy.Reset}
+	u := &upstream{node: n, downstream: d, server: server, attemptDeadline: until, endResult: policy.Reset}
 	u.id = n.upstreams.Add(u)
 	d.upstream = u
 	wait := n.cfg.Settings.ConnectTimeout
 	if wait <= 0 {
-		wait = dialTimeout
+		wait = defaultConnectTimeout
 	}
-	if d.opening.HostID != "" { // all come at once, and none has anywhere else to go
+	if d.opening.HostID != "" { // these all come at once, and no other host can serve them
 		wait = until - n.now()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), min(wait, until-n.now()))
@@ -43,46 +44,46 @@
 	return nil
 }
 
-// dial makes a connection off the loop; the socket is told of it by opened, or by lost that there is none.
+// dial connects off the loop. The socket is notified by opened, or through dialFailed.
 func (n *Node) dial(ctx context.Context, s socket, address string) {
 	n.dialling++
 	go func() {
-		c, err := n.connectInTime(ctx, address)
+		c, err := n.connectWithRetry(ctx, address)
 		if err == nil {
 			err = n.enroll(s, c)
 		}
 		if err != nil {
-			n.lost(s, err)
+			n.dialFailed(s, err)
 		}
 	}()
 }
 
-// lost tells a socket that was counted as dialling that it has no connection, and why.
-func (n *Node) lost(s socket, cause error) {
+// dialFailed notifies a socket counted in dialling that its connection failed.
+func (n *Node) dialFailed(s socket, cause error) {
 	n.post(func(now time.Duration) {
 		n.dialling--
-		if u, ok := s.(unreachable); ok && failedHere(cause) {
-			n.count.Add("connections not made: failed here")
-			u.unreached(now)
+		if h, ok := s.(localFailureHandler); ok && isLocalFailure(cause) {
+			n.counters.Add("connections not made: failed here")
+			h.failedLocally(now)
 			return
 		}
 		s.closed(now, false)
 	})
 }
 
-// enroll brings a connection to the loop, which tells the socket of it by opened. The loop gets a duplicate; ours is
-// closed before the channel is. Danger: it is closed by a goroutine, which may lag behind when dozens come at once.
+// enroll hands a connection to the loop, which calls the socket's opened. The loop gets a duplicate descriptor; a
+// goroutine closes ours before it closes the channel, and may lag behind when dozens of connections come at once.
 func (n *Node) enroll(s socket, c stdnet.Conn) error {
 	done, err := n.loop.Enroll(gnet.NewContext(context.Background(), s), c)
 	if err != nil {
 		_ = c.Close()
 		return err
 	}
-	for result := range done { // danger: what fails here, for want of a descriptor, is told nowhere else
+	for result := range done { // a failure here, such as for want of a descriptor, is reported nowhere else
 		err = result.Err
 	}
 	if err == nil {
-		n.post(func(time.Duration) { n.doubled-- })
+		n.post(func(time.Duration) { n.duplicates-- })
 	}
 	return err
 }
--- a/internal/net/dialfailure_test.go
+++ b/internal/net/dialfailure_test.go
@@ -18,22 +18,22 @@
 	"tealtiller/policy"
 )
 
-// failure is what the standard library makes of an error of socket or connect.
-func failure(call string, cause syscall.Errno) error {
+// dialFailure is an error of socket or connect as the standard library returns it.
+func dialFailure(call string, cause syscall.Errno) error {
 	return &stdnet.OpError{Op: "dial", Net: "tcp", Err: os.NewSyscallError(call, cause)}
 }
 
-var failuresHere = map[string]error{
-	"EMFILE": failure("socket", syscall.EMFILE), "ENFILE": failure("socket", syscall.ENFILE),
-	"ENOBUFS": failure("socket", syscall.ENOBUFS), "ENOMEM": failure("socket", syscall.ENOMEM),
-	"EADDRNOTAVAIL": failure("connect", syscall.EADDRNOTAVAIL), "ENETUNREACH": failure("connect", syscall.ENETUNREACH),
-	"ENETDOWN": failure("connect", syscall.ENETDOWN), "EAGAIN": failure("connect", syscall.EAGAIN),
+var localFailures = map[string]error{
+	"EMFILE": dialFailure("socket", syscall.EMFILE), "ENFILE": dialFailure("socket", syscall.ENFILE),
+	"ENOBUFS": dialFailure("socket", syscall.ENOBUFS), "ENOMEM": dialFailure("socket", syscall.ENOMEM),
+	"EADDRNOTAVAIL": dialFailure("connect", syscall.EADDRNOTAVAIL), "ENETUNREACH": dialFailure("connect", syscall.ENETUNREACH),
+	"ENETDOWN": dialFailure("connect", syscall.ENETDOWN), "EAGAIN": dialFailure("connect", syscall.EAGAIN),
 }
 
-// failingFirst makes the node's first calls of connect fail, and counts all.
-func (r *rig) failingFirst(failures int64, cause error) (calls *atomic.Int64) {
+// failFirstDials makes the node's first dials fail, and counts all dials.
+func (r *rig) failFirstDials(failures int64, cause error) (calls *atomic.Int64) {
 	calls = &atomic.Int64{}
-	r.fail = func() error {
+	r.dialError = func() error {
 		if calls.Add(1) <= failures {
 			return cause
 		}
@@ -49,14 +49,14 @@
 	}
 }
 
-// A system call that fails here for a moment says nothing of the desk host, and nothing has been sent: the request is served by
-// its first attempt, and the only desk host is not doubted.
-func TestConnectFailsHereForAMoment(t *testing.T) {
-	for name, cause := range failuresHere {
+// A brief local failure of a system call says nothing about the desk host, and nothing has been sent: the request is
+// served by its first attempt, and the only desk host stays eligible.
+func TestBriefLocalConnectFailure(t *testing.T) {
+	for name, cause := range localFailures {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.set["tries"] = "1"
-			calls := r.failingFirst(3, cause)
+			r.settings["tries"] = "1"
+			calls := r.failFirstDials(3, cause)
 			r.steps("a connect", "a send OPEN 1 a c=lookup,d=4000", "d accept", "d expect OPEN 1 a *", "d send UP r1", "a expect UP r1",
 				"wait count attempts sent 1", "wait count attempts written 1")
 			assert.EqualValues(t, 4, calls.Load())
@@ -64,15 +64,16 @@
 	}
 }
 
-// Where it lasts, the attempts end unsent, and no desk host is struck for it: the client is refused, and served when it comes again.
-func TestConnectFailsHereForLong(t *testing.T) {
-	for name, cause := range failuresHere {
+// If a local failure lasts, the attempts end as not sent, and it does not count against any desk host: the client is
+// refused, and served when it retries.
+func TestLastingLocalConnectFailure(t *testing.T) {
+	for name, cause := range localFailures {
 		t.Run(name, func(t *testing.T) {
 			r := newRig(t)
-			r.set["connect"], r.set["tries"] = "60ms", "2"
+			r.settings["connect"], r.settings["tries"] = "60ms", "2"
 			failing := atomic.Bool{}
 			failing.Store(true)
-			r.fail = func() error {
+			r.dialError = func() error {
 				if failing.Load() {
 					return cause
 				}
@@ -80,15 +81,15 @@
 			}
 			r.steps("a connect", "a send OPEN 1 a c=lookup,d=4000", "a expect BUSY *", "a wait fin",
 				"wait count attempts ended: moot 1+", "wait count attempts ended: connect failed 0", "wait count attempts written 0")
-			assert.Zero(t, r.avoided())
+			assert.Zero(t, r.unavailableHosts())
 			failing.Store(false)
 			r.steps("b connect", "b send OPEN 2 a c=lookup,d=4000", "d accept", "d expect OPEN 2 a *", "d send UP r1", "b expect UP r1")
 		})
 	}
 }
 
-// avoided is how many desk hosts the module avoids.
-func (r *rig) avoided() (avoided int) {
+// unavailableHosts is how many desk hosts the module avoids.
+func (r *rig) unavailableHosts() (avoided int) {
 	done := make(chan struct{})
 	r.node.post(func(now time.Duration) {
 		defer close(done)
@@ -98,13 +99,13 @@
 	return avoided
 }
 
-// What the other side or the way there tells is its failure: each attempt counts against the desk host.
-func TestConnectFailsThere(t *testing.T) {
+// Failures of the peer or of the network path count against the desk host, one per attempt.
+func TestRemoteConnectFailure(t *testing.T) {
 	for _, cause := range []syscall.Errno{syscall.ECONNREFUSED, syscall.ECONNRESET, syscall.ETIMEDOUT, syscall.EHOSTUNREACH} {
 		t.Run(cause.Error(), func(t *testing.T) {
 			r := newRig(t)
-			r.set["tries"] = "1"
-			calls := r.failingFirst(1, failure("connect", cause))
+			r.settings["tries"] = "1"
+			calls := r.failFirstDials(1, dialFailure("connect", cause))
 			r.steps("a connect", "a send OPEN 1 a c=lookup,d=4000", "a expect BUSY *",
 				"wait count attempts ended: "+request.ResultNames[policy.ConnectFailed]+" 1")
 			assert.EqualValues(t, 1, calls.Load())
@@ -112,28 +113,28 @@
 	}
 }
 
-func TestFailedHere(t *testing.T) {
-	for name, cause := range failuresHere {
-		assert.True(t, failedHere(fmt.Errorf("wrapped: %w", cause)), name)
+func TestIsLocalFailure(t *testing.T) {
+	for name, cause := range localFailures {
+		assert.True(t, isLocalFailure(fmt.Errorf("wrapped: %w", cause)), name)
 	}
 	for _, cause := range []error{nil, context.DeadlineExceeded, os.ErrDeadlineExceeded, errors.New("other"),
-		failure("connect", syscall.ECONNREFUSED), failure("connect", syscall.EHOSTUNREACH), failure("connect", syscall.ETIMEDOUT)} {
-		assert.False(t, failedHere(cause), cause)
+		dialFailure("connect", syscall.ECONNREFUSED), dialFailure("connect", syscall.EHOSTUNREACH), dialFailure("connect", syscall.ETIMEDOUT)} {
+		assert.False(t, isLocalFailure(cause), cause)
 	}
 }
 
-// A report that could not be asked for here is no silence of the desk host.
-func TestProbeFailsHere(t *testing.T) {
+// A probe that failed locally must not count as an unanswered one.
+func TestProbeFailsLocally(t *testing.T) {
 	r := newRig(t)
-	r.fail = func() error { return failuresHere["EMFILE"] }
+	r.dialError = func() error { return localFailures["EMFILE"] }
 	r.start()
 	done := make(chan struct{})
-	var seen lag
+	var seen hostStatus
 	r.node.post(func(now time.Duration) {
 		defer close(done)
-		r.node.probeWait = 60 * time.Millisecond
-		r.node.ask("s-0", r.node.delays.of("s-0"), now)
-		seen.probe = r.node.delays.of("s-0").probe
+		r.node.probeTimeout = 60 * time.Millisecond
+		r.node.probeHost("s-0", r.node.delays.host("s-0"), now)
+		seen.probe = r.node.delays.host("s-0").probe
 	})
 	<-done
 	assert.NotNil(t, seen.probe)
@@ -141,10 +142,10 @@
 	done = make(chan struct{})
 	r.node.post(func(time.Duration) {
 		defer close(done)
-		seen = *r.node.delays.of("s-0")
+		seen = *r.node.delays.host("s-0")
 	})
 	<-done
-	assert.Zero(t, seen.missedAt)
+	assert.Zero(t, seen.probeMissedAt)
 	assert.Nil(t, seen.probe)
-	assert.Zero(t, r.avoided())
+	assert.Zero(t, r.unavailableHosts())
 }
--- a/internal/net/downstream.go
+++ b/internal/net/downstream.go
@@ -19,16 +19,16 @@
 	node *Node
 	id   slot.ID
 	inbound
-	request  slot.ID
-	opening  line.OpenRequest
-	taken    bool // its OPEN came: lines that follow wait for UP
-	upstream *upstream
-	ending   bool // we have said our last; what still comes is thrown away
-	linger   bool
-	half     *half              // the client has ended its sending only
-	since    time.Duration      // silent since: it came, was last answered, or we have said our last
-	waited   time.Duration      // silent before it came to this process
-	limit    *deadline.Deadline // of its silence
+	request      slot.ID
+	opening      line.OpenRequest
+	openReceived bool // OPEN was received: the lines after it wait for UP
+	upstream     *upstream
+	closing      bool          // the last line was written; further input is discarded
+	lingering    bool          // sending has ended; waiting for the client to close
+	halfClosed   *halfClosed   // set when the client has ended its sending only
+	silentSince  time.Duration // start of the silence: connected, last answered, or last line written
+	silentBefore time.Duration // silence in the process that passed the socket on
+	silenceLimit *deadline.Deadline
 }
 
 func newDownstream(n *Node) *downstream {
@@ -38,104 +38,104 @@
 }
 
 func (d *downstream) opened(now time.Duration, c gnet.Conn) gnet.Action {
-	d.node.count.Add("client connections accepted")
+	d.node.counters.Add("client connections accepted")
 	d.conn = c
-	_ = c.SetNoDelay(true) // danger: a last line that the system holds back goes with the connection
-	if d.taken {           // it stands: the upstream follows
+	_ = c.SetNoDelay(true) // a last line delayed by Nagle's algorithm could be lost with the connection
+	if d.openReceived {    // inherited: its upstream socket follows
 		return gnet.None
 	}
-	d.since = now - d.waited
+	d.silentSince = now - d.silentBefore
 	if !d.node.leading && d.passOn(now) {
 		return gnet.Close
 	}
-	d.conn = nil // not to be dropped for its own sake
-	enough := d.node.room(0)
+	d.conn = nil // keeps makeRoom from closing this connection
+	enough := d.node.makeRoom(0)
 	d.conn = c
 	if !enough {
-		d.node.count.Add("client connections refused: too many")
-		d.node.trace("client-refused", "reason", noDescriptors, "back", shortage)
-		d.say(d.node.busyLine(shortage))
-		if d.finish(now); d.node.left() < -overdrawn {
-			d.release()
+		d.node.counters.Add("client connections refused: too many")
+		d.node.trace("client-refused", "reason", noDescriptors, "back", descriptorRetryAfter)
+		d.writeLine(d.node.busyLine(descriptorRetryAfter))
+		if d.closeSending(now); d.node.descriptorsLeft() < -maxBusyOverdraft {
+			d.closeConn()
 		}
 		return gnet.None
 	}
-	d.silent(now, d.node.patience-d.waited, noRequest)
+	d.limitSilence(now, d.node.commandTimeout-d.silentBefore, noRequestLine)
 	d.traffic(now)
 	return gnet.None
 }
 
-// overdrawn is how many clients that were told BUSY for want of a descriptor may take one of our own needs until they
-// have read so.
-const overdrawn = 4
+// maxBusyOverdraft is how many clients refused for want of descriptors may occupy one of the reserved descriptors
+// until they have read the answer.
+const maxBusyOverdraft = 4
 
-// atOnce is how many commands a client may send before it has read the answers.
-const atOnce = 16
+// maxCommandsAtOnce is how many commands a client may send before it has read the answers.
+const maxCommandsAtOnce = 16
 
-// traffic reads lines until the first that must wait.
+// traffic handles complete lines, up to the first one that has to wait.
 func (d *downstream) traffic(now time.Duration) {
 	commands := 0
 	for d.conn != nil && d.buffered() > 0 {
-		if d.ending {
+		if d.closing {
 			d.discard(-1)
 			return
 		}
-		if d.taken {
+		if d.openReceived {
 			d.relay(now)
 			return
 		}
 		buf := d.peek()
 		text, err := line.Next(buf)
 		if err != nil {
-			d.malformed(now, err)
+			d.rejectMalformed(now, err)
 			return
 		}
 		if len(text) == 0 {
 			return
 		}
-		if commands++; commands > atOnce {
-			d.malformed(now, errors.New("too many commands at once"))
+		if commands++; commands > maxCommandsAtOnce {
+			d.rejectMalformed(now, errors.New("too many commands at once"))
 			return
 		}
-		d.first(now, text)
+		d.handleCommand(now, text)
 		if d.conn != nil {
 			d.discard(len(text))
 		}
 	}
 }
 
-// first answers a line of a downstream socket that has not opened a connection yet.
-func (d *downstream) first(now time.Duration, text []byte) {
+// handleCommand answers a line that precedes OPEN, or OPEN itself.
+func (d *downstream) handleCommand(now time.Duration, text []byte) {
 	kind, _ := line.Parse(text)
 	switch kind {
 	case line.Ping, line.Stats:
-		d.node.count.Add("probes answered")
+		d.node.counters.Add("probes answered")
 		switch {
-		case d.node.stopping, d.node.awaitsList(now):
-			d.say("ERR\r\n")
+		case d.node.draining, d.node.awaitsLease(now):
+			d.writeLine("ERR\r\n")
 		case kind == line.Ping:
-			d.say("PONG\r\n")
+			d.writeLine("PONG\r\n")
 		default:
-			d.say(fmt.Sprintf("PONG inflight=%d\r\n", d.node.table.Len()))
+			d.writeLine(fmt.Sprintf("PONG inflight=%d\r\n", d.node.table.Len()))
 		}
-		d.silent(now, d.node.patience, noRequest)
+		d.limitSilence(now, d.node.commandTimeout, noRequestLine)
 	case line.Open:
 		opening, err := line.ParseOpenRequest(text)
 		if err == nil {
-			err = d.node.refusal(opening)
+			err = d.node.checkOpen(opening)
 		}
 		if err != nil {
-			d.malformed(now, err)
+			d.rejectMalformed(now, err)
 			return
 		}
-		d.open(now, opening)
+		d.handleOpen(now, opening)
 	default:
-		d.malformed(now, fmt.Errorf("want OPEN, PING or STATS"))
+		d.rejectMalformed(now, fmt.Errorf("want OPEN, PING or STATS"))
 	}
 }
 
-// refusal tells what speaks against an opening that can be read.
-func (n *Node) refusal(o line.OpenRequest) error {
+// checkOpen returns why a well-formed OPEN is refused, or nil.
+func (n *Node) checkOpen(o line.OpenRequest) error {
 	if _, known := n.cfg.Settings.Policy.Classes[o.Class]; !known {
 		n.table.CountUnknownClass(o.Class)
 		return fmt.Errorf("no class %q", o.Class)
@@ -146,10 +146,10 @@
 	return nil
 }
 
-// shortage is when a client may come back that found no descriptor left: by then those who say nothing are gone.
-const shortage = 500 * time.Millisecond
+// descriptorRetryAfter is the retry time for clients refused for want of descriptors: silent ones are closed by then.
+const descriptorRetryAfter = 500 * time.Millisecond
 
-// busyLine refuses; where the settings allow it, it tells when to come back.
+// busyLine returns the refusal line, with the time after which to retry if the settings allow it.
 func (n *Node) busyLine(retryAfter time.Duration) string {
 	if retryAfter <= 0 || !n.cfg.Settings.SendRetryAfter {
 		return "BUSY\r\n"
@@ -157,54 +157,56 @@
 	return fmt.Sprintf("BUSY %d\r\n", (retryAfter+time.Millisecond-1)/time.Millisecond)
 }
 
-func (d *downstream) busy(now, retryAfter time.Duration) { d.answer(now, d.node.busyLine(retryAfter)) }
+func (d *downstream) answerBusy(now, retryAfter time.Duration) {
+	d.sendLastLine(now, d.node.busyLine(retryAfter))
+}
 
-// margin is taken off a client's time, for the way of our answer.
-const margin = 20 * time.Millisecond
+// answerMargin is subtracted from a client's timeout to allow for the delivery of the answer.
+const answerMargin = 20 * time.Millisecond
 
-func (d *downstream) open(now time.Duration, o line.OpenRequest) {
+func (d *downstream) handleOpen(now time.Duration, opening line.OpenRequest) {
 	n := d.node
-	d.opening, d.taken = o, true
-	n.lastOpen = now
-	if n.tooLate(o) {
-		n.count.Add("operations refused: after the latest moment")
-		n.table.CountRejected(o.Class)
-		d.busy(now, 0)
+	d.opening, d.openReceived = opening, true
+	n.lastOpenAt = now
+	if n.pastDrainDeadline(opening) {
+		n.counters.Add("operations refused: after the latest moment")
+		n.table.CountRejected(opening.Class)
+		d.answerBusy(now, 0)
 		return
 	}
-	if !n.room(2) { // danger: a dial without a descriptor would look like an ill host
-		n.count.Add("operations refused: no descriptors")
-		n.table.CountRejected(o.Class)
-		d.traceRefusal(noDescriptors, shortage)
-		d.busy(now, shortage)
+	if !n.makeRoom(2) { // without descriptors the dial would fail and count against the desk host
+		n.counters.Add("operations refused: no descriptors")
+		n.table.CountRejected(opening.Class)
+		d.traceRefusal(noDescriptors, descriptorRetryAfter)
+		d.answerBusy(now, descriptorRetryAfter)
 		return
 	}
-	n.deadlines.Stop(d.limit)
-	n.count.Add("operations taken")
-	n.trace("taken", "id", o.ID, "key", n.groupKey(o), "group", o.Group, "class", o.Class, "wait", o.Timeout, "returned", o.Returned,
-		"mid", o.MidFlow, "at", o.HostID)
-	q := n.request(o)
-	// The number of a request is known only when it has been taken, yet its first attempt or answer
-	// comes before that; it finds this downstream by its own number.
-	if o.HostID != "" {
-		n.count.Add("operations handed over")
-		d.request = n.table.SubmitMidFlow(now, d.id, q, o.HostID)
+	n.deadlines.Stop(d.silenceLimit)
+	n.counters.Add("operations taken")
+	n.trace("taken", "id", opening.ID, "key", n.placementKey(opening), "group", opening.Group, "class", opening.Class,
+		"wait", opening.Timeout, "returned", opening.Returned, "mid", opening.MidFlow, "at", opening.HostID)
+	request := n.policyRequest(opening)
+	// Submit may start an attempt or answer before it returns the request's number; until then the request finds its
+	// downstream by the downstream's own number.
+	if opening.HostID != "" {
+		n.counters.Add("operations handed over")
+		d.request = n.table.SubmitMidFlow(now, d.id, request, opening.HostID)
 		return
 	}
-	if o.MidFlow {
-		n.count.Add("operations mid-flow")
+	if opening.MidFlow {
+		n.counters.Add("operations mid-flow")
 	}
-	d.request = n.table.Submit(now, d.id, q)
+	d.request = n.table.Submit(now, d.id, request)
 }
 
-// request is an opening as the module takes it.
-func (n *Node) request(o line.OpenRequest) policy.Request {
-	return policy.Request{ID: o.ID, Class: o.Class, Key: n.groupKey(o), HasKey: true, TTL: max(o.Timeout-margin, 0),
+// policyRequest converts an OPEN line for the decision module.
+func (n *Node) policyRequest(o line.OpenRequest) policy.Request {
+	return policy.Request{ID: o.ID, Class: o.Class, Key: n.placementKey(o), HasKey: true, TTL: max(o.Timeout-answerMargin, 0),
 		MidFlow: o.MidFlow, Reconnecting: o.Returned, Tenant: o.Carrier}
 }
 
-// groupKey is what an opening is placed by: its group's key where groups are on, else its own.
-func (n *Node) groupKey(o line.OpenRequest) uint64 {
+// placementKey is the key by which a request is placed: the key of its group if groups are turned on, else its own.
+func (n *Node) placementKey(o line.OpenRequest) uint64 {
 	if n.cfg.Settings.KeyByGroup && o.HasGroup {
 		return o.Group
 	}
@@ -212,37 +214,37 @@
 }
 
 func (d *downstream) detach(reset bool) {
-	switch stands := d.upstream != nil && d.upstream.up; {
-	case reset || d.ending:
-	case stands:
-		d.half = newHalf(d.node, d.conn)
-	case d.taken:
-		d.say(cancelled)
+	switch established := d.upstream != nil && d.upstream.up; {
+	case reset || d.closing:
+	case established:
+		d.halfClosed = newHalfClosed(d.node, d.conn)
+	case d.openReceived:
+		d.writeLine(cancelledLine)
 	}
 	d.conn = nil
 }
 
 func (d *downstream) closed(now time.Duration, reset bool) {
-	defer d.node.downstreams.Remove(d.id) // last: its attempt is found by its number
-	d.node.deadlines.Stop(d.limit)
-	if !d.taken || d.ending {
-		d.half.close(reset)
+	defer d.node.downstreams.Remove(d.id) // last: running attempts find it by its number
+	d.node.deadlines.Stop(d.silenceLimit)
+	if !d.openReceived || d.closing {
+		d.halfClosed.close(reset)
 		return
 	}
-	d.ending = true
-	if u := d.upstream; d.half != nil && u != nil && u.conn != nil && u.conn.OutboundBuffered() == 0 &&
+	d.closing = true
+	if u := d.upstream; d.halfClosed != nil && u != nil && u.conn != nil && u.conn.OutboundBuffered() == 0 &&
 		syscall.Shutdown(u.conn.Fd(), syscall.SHUT_WR) == nil {
-		d.node.count.Add("clients that ended their sending")
-		d.node.deadlines.Stop(u.silent)
-		d.node.deadlines.Set(now+lingering, func(now time.Duration) { u.close(now, false, policy.Cancelled) })
+		d.node.counters.Add("clients that ended their sending")
+		d.node.deadlines.Stop(u.answerCheck)
+		d.node.deadlines.Set(now+lingerTimeout, func(now time.Duration) { u.close(now, false, policy.Cancelled) })
 		return
 	}
-	d.half.close(reset)
+	d.halfClosed.close(reset)
 	if u := d.upstream; u != nil && u.up {
-		d.node.count.Add("clients gone from standing connections")
+		d.node.counters.Add("clients gone from standing connections")
 		u.close(now, reset, policy.Cancelled)
 		return
 	}
-	d.node.count.Add("clients gone before their answer")
+	d.node.counters.Add("clients gone before their answer")
 	d.node.table.ClientLeft(now, d.request)
 }
--- a/internal/net/drain.go
+++ b/internal/net/drain.go
@@ -9,155 +9,167 @@
 	"tealtiller/internal/line"
 )
 
-// settled is how long no OPEN must have come before a draining node stops; clients keep coming for up to
-// 0.4 s after the signal.
-const settled, drainCheck = 600 * time.Millisecond, 20 * time.Millisecond
+// quietPeriod is how long no OPEN may have arrived before a draining node stops. Clients keep coming for up to 0.4 s
+// after the signal.
+const quietPeriod = 600 * time.Millisecond
 
-// mostWait is the longest deadline that who stops us waits for, before it kills us 0.7 s later.
-const mostWait = 3 * time.Second
+// drainCheckInterval is how often a draining node checks whether it may stop.
+const drainCheckInterval = 20 * time.Millisecond
 
-// answerBy is how long after the longest deadline what is still owed has its answer. Clients come for up to 0.4 s and may all
-// have their time; of the 0.7 s what is left is for the last looks and for a machine that holds us up by 0.15 s meanwhile.
-const answerBy = 440 * time.Millisecond
+// maxDrainWait is the longest request deadline that the supervisor waits for before it kills the process 0.7 s later.
+const maxDrainWait = 3 * time.Second
 
-// Drain ends the node in good order; it may be called from any goroutine.
+// drainAnswerTime is how long after the longest request deadline all pending requests are answered. Clients come for
+// up to 0.4 s and may use their full deadline; the rest of the 0.7 s before the kill is left for the final checks and
+// for a machine that stalls the process by 0.15 s.
+const drainAnswerTime = 440 * time.Millisecond
+
+// Drain shuts the node down gracefully. It may be called from any goroutine.
 func (n *Node) Drain() {
 	<-n.booted
 	n.post(func(now time.Duration) {
-		if n.stopping {
+		if n.draining {
 			return
 		}
-		n.stopping, n.lastOpen = true, max(n.lastOpen, now)
+		n.draining, n.lastOpenAt = true, max(n.lastOpenAt, now)
 		n.log.Info("draining", "operations", n.table.Len())
-		n.stepBack()
-		n.drained(now, n.latest(now))
+		n.yieldLead()
+		n.checkDrain(now, n.drainDeadline(now))
 	})
 }
 
-// latest is the moment up to which what was taken may be served.
-func (n *Node) latest(now time.Duration) time.Duration {
-	return now + min(n.cfg.Settings.MaxDeadline, mostWait) + answerBy
+// drainDeadline is the time until which accepted requests may be served.
+func (n *Node) drainDeadline(now time.Duration) time.Duration {
+	return now + min(n.cfg.Settings.MaxDeadline, maxDrainWait) + drainAnswerTime
 }
 
-// drained ends the process once nothing is left to do here, and looks again until then.
-func (n *Node) drained(now, latest time.Duration) {
-	if n.finished(now, latest) {
-		n.leave()
+// checkDrain stops the process once the drain has finished, and checks again until then.
+func (n *Node) checkDrain(now, latest time.Duration) {
+	if n.drainFinished(now, latest) {
+		n.stop()
 		return
 	}
-	n.deadlines.Set(now+drainCheck, func(now time.Duration) { n.drained(now, latest) })
+	n.deadlines.Set(now+drainCheckInterval, func(now time.Duration) { n.checkDrain(now, latest) })
 }
 
-// finished tells whether all taken is answered and clients have ceased to come. Where connections end here, those that stand
-// are moved, also those that have come up since, and it is finished at a time at the latest.
+// drainFinished reports whether all requests are answered and no more clients come. Where connections end with the
+// process, clients of established connections are moved, including those established during the drain, and the drain
+// ends by the drain deadline.
 //
-// Danger: where packets pass through, our end is the end of what stands, and its clients would come again; as
-// long as we run it is carried on. Whoever stops us for good lets its packets reach another balancer.
-func (n *Node) finished(now, latest time.Duration) bool {
-	if n.link != nil && !n.leading { // the other process goes on with all that stands
-		return n.handOver(now)
+// Where packets pass through, connections would break with this process and their clients would reconnect, so they are
+// relayed as long as the process runs. Whoever stops the process for good first routes its packets to another
+// balancer.
+func (n *Node) drainFinished(now, latest time.Duration) bool {
+	if n.link != nil && !n.leading { // the other process continues all connections
+		return n.handOverAll(now)
 	}
 	if !n.cfg.Settings.PassThrough {
 		for _, u := range n.upstreams.All() {
 			if u.up {
-				u.move(now)
+				u.moveClient(now)
 			}
 		}
 	}
-	if now >= latest && !(n.cfg.Settings.PassThrough && n.overdue) { // once where it goes on: see tooLate
-		n.overdue = true
-		n.answerOwed(now)
+	if now >= latest && !(n.cfg.Settings.PassThrough && n.drainDeadlinePassed) { // once with pass-through: see pastDrainDeadline
+		n.drainDeadlinePassed = true
+		n.failUnanswered(now)
 		if n.cfg.Settings.PassThrough {
-			n.dismissResting(now)
+			n.dismissIdle(now)
 		}
 	}
-	answered := n.table.Unanswered() == 0 && now-n.lastOpen >= settled && !n.midLine()
+	answered := n.table.Unanswered() == 0 && now-n.lastOpenAt >= quietPeriod && !n.hasPartialCommand()
 	if done := n.cfg.Settings.PassThrough && answered && n.table.Len() == 0 ||
 		!n.cfg.Settings.PassThrough && (answered || now >= latest); !done {
-		n.reopen()
+		n.resumeHandshakes()
 		return false
 	}
-	return n.closeOut(now, latest)
+	return n.closeRemaining(now, latest)
 }
 
-// tooLate tells that a request is not begun any more. Danger: where packets pass through, a drain goes on after the latest
-// moment, but may be killed in any one after it, and what it had taken would be lost. Open connections are carried on.
-func (n *Node) tooLate(o line.OpenRequest) bool {
-	return n.overdue && n.leading && n.cfg.Settings.PassThrough && !o.MidFlow && o.HostID == ""
+// pastDrainDeadline reports whether a request comes too late to be started. Where packets pass through, a drain
+// continues after its deadline but may be killed at any moment, and requests accepted then would be lost. Requests of
+// open connections are still relayed.
+func (n *Node) pastDrainDeadline(o line.OpenRequest) bool {
+	return n.drainDeadlinePassed && n.leading && n.cfg.Settings.PassThrough && !o.MidFlow && o.HostID == ""
 }
 
-// dismissResting tells clients that rest to go. Danger: where packets pass through, this process may be killed in any moment
-// from now on, and a request that came just before would be lost.
-func (n *Node) dismissResting(now time.Duration) {
+// dismissIdle refuses idle clients. Where packets pass through, the process may be killed at any moment from now on,
+// and a request that arrived just before would be lost.
+func (n *Node) dismissIdle(now time.Duration) {
 	for _, d := range n.downstreams.All() {
-		if d.conclude(now, n.busyLine(0)) {
-			n.count.Add("resting clients told to go")
+		if d.closeIdle(now, n.busyLine(0)) {
+			n.counters.Add("resting clients told to go")
 		}
 	}
 }
 
-// midLine tells whether a client is in the midst of its first line: a request that comes in pieces is still coming.
-func (n *Node) midLine() bool {
+// hasPartialCommand reports whether a client has sent an incomplete first line: the rest of the request may follow.
+func (n *Node) hasPartialCommand() bool {
 	for _, d := range n.downstreams.All() {
-		if d.conn != nil && !d.taken && !d.ending && d.buffered() > 0 {
+		if d.conn != nil && !d.openReceived && !d.closing && d.buffered() > 0 {
 			return true
 		}
 	}
 	return false
 }
 
-// lastGoodbye is how long those that are told to go have at the end, to read so and to close their side.
-const lastGoodbye = 300 * time.Millisecond
+// maxFinalClose is how long dismissed clients have at the end to read their last line and close their side.
+const maxFinalClose = 300 * time.Millisecond
 
-// closeOut stops new handshakes, closes the side of each client that rests, and tells whether all have gone or had their time.
+// closeRemaining blocks new handshakes, closes idle client connections, and reports whether all clients have left or
+// their time is over.
 //
-// Danger: the end of the process resets what is unread and what waits to be accepted. A request may come on a resting
-// connection, or a client connect, in that very moment: so no new connection begins any more, those that have begun are
-// accepted, and what lies unread is read, before the listener ends.
-func (n *Node) closeOut(now, latest time.Duration) bool {
+// The end of the process resets connections with unread data and connections waiting to be accepted. A request or a
+// connection may arrive at that very moment; so new handshakes are blocked, handshakes in progress are accepted, and
+// unread data is read before the listener is closed.
+func (n *Node) closeRemaining(now, latest time.Duration) bool {
 	if n.closingSince == 0 {
-		n.closingSince, n.closeBy = now, now+lastGoodbye
-		if !n.cfg.Settings.PassThrough { // who is killed soon after has no more time
-			n.closeBy = min(n.closeBy, latest+3*drainCheck)
+		n.closingSince, n.closeDeadline = now, now+maxFinalClose
+		if !n.cfg.Settings.PassThrough { // the process is killed soon after the deadline
+			n.closeDeadline = min(n.closeDeadline, latest+3*drainCheckInterval)
 		}
-		n.admitHandshakes(false)
+		n.allowHandshakes(false)
 	}
 	for _, d := range n.downstreams.All() {
-		d.conclude(now, n.busyLine(0))
+		d.closeIdle(now, n.busyLine(0))
 	}
-	if now >= n.closeBy {
-		n.answerOwed(now) // danger: one that lay there was taken just now
+	if now >= n.closeDeadline {
+		n.failUnanswered(now) // closeIdle may just have accepted an unread request
 		return true
 	}
-	if n.table.Unanswered() > 0 { // a request lay there
+	if n.table.Unanswered() > 0 { // closeIdle accepted an unread request
 		return false
 	}
-	waits := now-n.closingSince < drainCheck || n.downstreams.Len() > 0
-	return !waits && n.shut()
+	waiting := now-n.closingSince < drainCheckInterval || n.downstreams.Len() > 0
+	return !waiting && n.closeListener()
 }
 
-// reopen lets connections begin again: a request was read at the last moment, and what comes of it is carried on.
-func (n *Node) reopen() {
+// resumeHandshakes allows new connections again: a request arrived at the last moment and is being served.
+func (n *Node) resumeHandshakes() {
 	if n.closingSince > 0 {
 		n.closingSince = 0
-		n.admitHandshakes(true)
+		n.allowHandshakes(true)
 	}
 }
 
-// admitHandshakes lets connections begin at our listener, or none: a first packet that asks for one is then dropped, and its sender,
-// who asks again after a second, finds nobody. Packets of those that have begun pass. Where the system refuses that, what
-// remains is to look at the queue.
-func (n *Node) admitHandshakes(open bool) {
+// allowHandshakes turns new connections at our listener on or off. When they are off, a socket filter drops SYN
+// packets; a client that repeats its SYN a second later finds no listener. Packets of handshakes in progress pass. If
+// the system refuses the filter, the accept queue is still checked before the listener is closed.
+func (n *Node) allowHandshakes(allow bool) {
 	fd, err := n.engine.DupListener("tcp", n.cfg.ListenAddr)
 	if err != nil {
 		return
 	}
 	defer syscall.Close(fd)
-	if open {
+	if allow {
 		_ = unix.SetsockoptInt(fd, unix.SOL_SOCKET, unix.SO_DETACH_FILTER, 0)
 		return
 	}
-	const flags, syn, ack = 13, 2, 16 // the byte of a TCP header, and two of its bits
+	const (
+		flags = 13 // offset of the flags byte in the TCP header
+		syn   = 2
+		ack   = 16
+	)
 	filter := []unix.SockFilter{
 		{Code: unix.BPF_LD | unix.BPF_B | unix.BPF_ABS, K: flags},
 		{Code: unix.BPF_ALU | unix.BPF_AND | unix.BPF_K, K: syn | ack},
@@ -169,8 +181,8 @@
 		&unix.SockFprog{Len: uint16(len(filter)), Filter: &filter[0]})
 }
 
-// gone tells that the process is ending.
-func (n *Node) gone() bool {
+// stoppedServing reports whether the process is about to end.
+func (n *Node) stoppedServing() bool {
 	select {
 	case <-n.stopped:
 		return true
@@ -179,26 +191,27 @@
 	}
 }
 
-// answerOwed gives up what is still owed its answer at the latest moment. Danger: who is killed next answers nobody.
-func (n *Node) answerOwed(now time.Duration) {
+// failUnanswered answers all pending requests with an error at the drain deadline, because after the kill nobody would
+// answer them.
+func (n *Node) failUnanswered(now time.Duration) {
 	for _, d := range n.downstreams.All() {
-		if d.conn != nil && d.taken && !d.ending && (d.upstream == nil || !d.upstream.up) {
-			n.count.Add("operations answered: failed, at the end")
-			d.answer(now, "ERR\r\n")
+		if d.conn != nil && d.openReceived && !d.closing && (d.upstream == nil || !d.upstream.up) {
+			n.counters.Add("operations answered: failed, at the end")
+			d.sendLastLine(now, "ERR\r\n")
 			n.table.ProtocolError(now, d.request)
 		}
 	}
 }
 
-// leave ends the process.
-func (n *Node) leave() {
+// stop ends serving; Run returns once the messages to another process are written.
+func (n *Node) stop() {
 	for _, d := range n.downstreams.All() {
-		d.release()
+		d.closeConn()
 	}
-	n.report()
-	if n.last = n.link; n.last != nil {
-		n.last.close()
+	n.writeMetrics()
+	if n.finalLink = n.link; n.finalLink != nil {
+		n.finalLink.close()
 	}
-	n.watch.watcher.Watch(n.now(), false) // whose end is no failure
+	n.watch.watcher.Watch(n.now(), false) // so that the closed watch does not count as a failure
 	close(n.stopped)
 }
--- a/internal/net/parcel_test.go
+++ b/internal/net/handovermessage_test.go
@@ -11,7 +11,7 @@
 	"tealtiller/internal/handover"
 )
 
-// duplicable is a connection as the loop has it.
+// duplicable adds gnet's Dup to a connection.
 type duplicable struct{ *stdnet.TCPConn }
 
 func (d duplicable) Dup() (fd int, err error) {
@@ -26,9 +26,9 @@
 	return fd, err
 }
 
-// The other process is killed as clients are passed on to it, one with a request that it has sent: each has a last line, and an
-// orderly end.
-func TestWhoFindsNoOtherProcessIsTold(t *testing.T) {
+// The other process is killed while clients are handed over to it, one of them with a request it has sent: each gets a
+// last line and an orderly close.
+func TestFallbackLinesWhenHandoverFails(t *testing.T) {
 	r := newRig(t)
 	listener, err := stdnet.Listen("tcp", "127.0.0.1:0")
 	require.NoError(t, err)
@@ -42,21 +42,21 @@
 	conn, err := stdnet.FileConn(file)
 	require.NoError(t, err)
 	require.NoError(t, file.Close())
-	l := &link{conn: conn.(*stdnet.UnixConn), out: make(chan parcel, mostParcels), flushed: make(chan struct{})}
-	pass := func(client string, kind handover.Kind) {
+	l := &processLink{conn: conn.(*stdnet.UnixConn), outgoing: make(chan outgoingMessage, maxQueuedMessages), flushed: make(chan struct{})}
+	handOver := func(client string, kind handover.Kind) {
 		require.NoError(t, r.step(client+" connect"))
-		ours, err := listener.Accept()
+		accepted, err := listener.Accept()
 		require.NoError(t, err)
 		require.NoError(t, r.step(client+" send OPEN 1 a c=lookup,d=4000"))
-		conns := []interface{ Dup() (int, error) }{duplicable{ours.(*stdnet.TCPConn)}}
+		conns := []interface{ Dup() (int, error) }{duplicable{accepted.(*stdnet.TCPConn)}}
 		if kind == handover.KindEstablished {
 			conns = append(conns, conns[0])
 		}
 		require.True(t, l.send(handover.Message{Kind: kind}, conns...))
-		require.NoError(t, ours.Close())
+		require.NoError(t, accepted.Close())
 	}
-	pass("opens", handover.KindIdleClient)
-	pass("stands", handover.KindEstablished)
+	handOver("opens", handover.KindIdleClient)
+	handOver("stands", handover.KindEstablished)
 	l.close()
 	l.write()
 	for _, step := range []string{"opens expect BUSY", "opens wait fin", "stands expect MOVE", "stands wait fin"} {
--- a/internal/net/inbound.go
+++ b/internal/net/inbound.go
@@ -9,35 +9,36 @@
 	"tealtiller/internal/line"
 )
 
-// inbound is the receiving side of a connection: what has come and is not used up, first of all what the process
-// before us had read of it.
+// inbound is the receiving side of a connection. Data that was read outside the event loop, or by the process before
+// this one, is kept in pending, ahead of gnet's buffer.
 type inbound struct {
-	conn gnet.Conn // nil once closed
-	kept []byte
+	conn    gnet.Conn // nil once closed
+	pending []byte
 }
 
 func (i *inbound) buffered() int {
 	if i.conn == nil {
-		return len(i.kept)
+		return len(i.pending)
 	}
-	return len(i.kept) + i.conn.InboundBuffered()
+	return len(i.pending) + i.conn.InboundBuffered()
 }
 
 func (i *inbound) peek() []byte {
 	if i.conn == nil {
-		return i.kept
+		return i.pending
 	}
 	buf, _ := i.conn.Peek(-1)
-	if len(i.kept) == 0 {
+	if len(i.pending) == 0 {
 		return buf
 	}
-	i.kept = append(i.kept, buf...)
+	i.pending = append(i.pending, buf...)
 	_, _ = i.conn.Discard(-1)
-	return i.kept
+	return i.pending
 }
 
+// discard drops the first n bytes, or everything for a negative n.
 func (i *inbound) discard(n int) {
-	if len(i.kept) == 0 && i.conn != nil {
+	if len(i.pending) == 0 && i.conn != nil {
 		_, _ = i.conn.Discard(n)
 		return
 	}
@@ -45,52 +46,54 @@
 		if i.conn != nil {
 			_, _ = i.conn.Discard(n)
 		}
-		n = len(i.kept)
+		n = len(i.pending)
 	}
-	i.kept = i.kept[n:]
+	i.pending = i.pending[n:]
 }
 
-// end takes leave of the socket, of which what has come is kept. Danger: a write that fails ends it at once, and with it
-// the peer's last lines that lie unread behind the reset.
-func (i *inbound) end() {
-	for range mostUnread {
-		if !i.pull() {
+// detachConn lets go of a connection that gnet closes, and keeps the data received so far. A failed write makes gnet
+// close the connection at once; without the final reads, the last lines that the peer sent before its reset would be
+// lost.
+func (i *inbound) detachConn() {
+	for range maxFinalReads {
+		if !i.readAvailable() {
 			break
 		}
 	}
-	i.kept = append([]byte(nil), i.peek()...)
+	i.pending = append([]byte(nil), i.peek()...)
 	i.conn = nil
 }
 
-// pull takes in what has come and the loop has not read yet, two lines at the most, and tells whether there was any. The
-// end of the connection is left to the loop, which hears of it by itself.
-func (i *inbound) pull() (any bool) {
+// readAvailable reads data that has arrived but was not read by the loop yet, up to two lines of maximum length, and
+// reports whether there was any. The end of the connection is left to the loop, which notices it by itself.
+func (i *inbound) readAvailable() bool {
 	buf := make([]byte, 2*line.MaxLength)
-	n, err := uninterrupted(func() (int, error) { return syscall.Read(i.conn.Fd(), buf) })
+	n, err := retryOnEINTR(func() (int, error) { return syscall.Read(i.conn.Fd(), buf) })
 	if err != nil || n <= 0 {
 		return false
 	}
 	held := append([]byte(nil), i.peek()...)
 	_, _ = i.conn.Discard(-1)
-	i.kept = append(held, buf[:n]...)
+	i.pending = append(held, buf[:n]...)
 	return true
 }
 
-// hungUp tells whether the other side has ended its sending or reset the connection, though the loop has not read so yet.
-// Danger: behind bytes that are unread, or while the loop is busy, work would begin for one that is gone.
-func (i *inbound) hungUp() bool { return i.is(unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR) }
+// peerClosed reports whether the peer has ended its sending or reset the connection, even if the loop has not noticed
+// yet: unread data may precede the end, or the loop may be busy. Without this check, work would begin for a peer that
+// has left.
+func (i *inbound) peerClosed() bool { return i.poll(unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR) }
 
-// unread tells whether bytes, or the end, have come that the loop has not read yet.
-func (i *inbound) unread() bool {
-	return i.is(unix.POLLIN | unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR)
+// hasUnread reports whether data or the end of the connection has arrived that the loop has not read yet.
+func (i *inbound) hasUnread() bool {
+	return i.poll(unix.POLLIN | unix.POLLRDHUP | unix.POLLHUP | unix.POLLERR)
 }
 
-// is asks the kernel about the socket; one that is closed is all of it.
-func (i *inbound) is(events int16) bool {
+// poll asks the kernel whether any of the events is pending. On a closed connection all of them are.
+func (i *inbound) poll(events int16) bool {
 	if i.conn == nil {
 		return true
 	}
 	fds := []unix.PollFd{{Fd: int32(i.conn.Fd()), Events: events}}
-	n, err := uninterrupted(func() (int, error) { return unix.Poll(fds, 0) })
+	n, err := retryOnEINTR(func() (int, error) { return unix.Poll(fds, 0) })
 	return err == nil && n > 0 && fds[0].Revents&events != 0
 }
--- a/internal/net/inherit.go
+++ b/internal/net/inherit.go
@@ -12,76 +12,78 @@
 	"tealtiller/policy"
 )
 
+// inheritDownstream takes over a client connection without an open request.
 func (n *Node) inheritDownstream(now time.Duration, m handover.Message) []socket {
 	d := newDownstream(n)
-	d.kept = m.FromClient
-	d.waited = min(time.Duration(m.Number)*time.Millisecond, n.patience)
+	d.pending = m.FromClient
+	d.silentBefore = min(time.Duration(m.Number)*time.Millisecond, n.commandTimeout)
 	return []socket{d}
 }
 
-// inheritStanding goes on with a connection that stands.
-func (n *Node) inheritStanding(now time.Duration, m handover.Message) []socket {
+// inheritEstablished takes over an established connection with both of its sockets.
+func (n *Node) inheritEstablished(now time.Duration, m handover.Message) []socket {
 	o, err := line.ParseOpenRequest(m.OpenLine)
 	if err != nil {
 		return nil
 	}
-	n.count.Add("operations taken over")
+	n.counters.Add("operations taken over")
 	d := newDownstream(n)
-	d.opening, d.taken, d.kept = o, true, m.FromClient
-	u := &upstream{node: n, downstream: d, server: m.Server, last: policy.Reset, cancel: func() {}, sent: true, up: true, upAt: now}
-	u.kept = m.FromHost
+	d.opening, d.openReceived, d.pending = o, true, m.FromClient
+	u := &upstream{node: n, downstream: d, server: m.Server, endResult: policy.Reset, cancel: func() {}, sent: true, up: true, upAt: now}
+	u.pending = m.FromHost
 	u.id = n.upstreams.Add(u)
 	d.upstream = u
-	n.delays.of(u.server).fresh = true
-	d.request = n.table.Inherit(now, d.id, n.request(o), u.server)
+	n.delays.host(u.server).newConnections = true
+	d.request = n.table.Inherit(now, d.id, n.policyRequest(o), u.server)
 	return []socket{d, u}
 }
 
-// pass passes a client's socket on to the process that leads, with the upstream one if a connection stands. What is
-// owed an answer, or has bytes that could not be written yet, stays for now; the other's end is told nobody here.
+// passOn passes a client's socket on to the leading process, together with the upstream socket if the connection is
+// established. Connections with an unanswered request or with unwritten output stay for now. No outcome is reported
+// for the upstream socket, since the connection continues in the other process.
 func (d *downstream) passOn(now time.Duration) bool {
 	n, u := d.node, d.upstream
-	if n.link == nil || d.conn == nil || d.ending || d.conn.OutboundBuffered() > 0 {
+	if n.link == nil || d.conn == nil || d.closing || d.conn.OutboundBuffered() > 0 {
 		return false
 	}
-	kept := bytes.Clone(d.peek())
+	unread := bytes.Clone(d.peek())
 	switch {
-	case !d.taken:
-		silent := (now - d.since).Milliseconds()
-		if !n.link.send(handover.Message{Kind: handover.KindIdleClient, Number: int(silent), FromClient: kept}, d.conn) {
+	case !d.openReceived:
+		silent := (now - d.silentSince).Milliseconds()
+		if !n.link.send(handover.Message{Kind: handover.KindIdleClient, Number: int(silent), FromClient: unread}, d.conn) {
 			return false
 		}
-		n.count.Add("client connections passed on")
+		n.counters.Add("client connections passed on")
 	case u != nil && u.up && u.conn != nil && u.conn.OutboundBuffered() == 0:
-		m := handover.Message{Kind: handover.KindEstablished, Server: u.server, OpenLine: d.opening.Raw(), FromClient: kept,
+		m := handover.Message{Kind: handover.KindEstablished, Server: u.server, OpenLine: d.opening.Raw(), FromClient: unread,
 			FromHost: bytes.Clone(u.peek())}
 		if !n.link.send(m, d.conn, u.conn) {
 			return false
 		}
-		n.count.Add("operations handed to the new process")
-		d.ending = true
-		u.drop(false)
+		n.counters.Add("operations handed to the new process")
+		d.closing = true
+		u.abort(false)
 		n.table.Release(now, d.request)
 	default:
 		return false
 	}
-	d.ending = true
+	d.closing = true
 	return true
 }
 
-// apprentice is how many descriptors the younger process has before it leads: its own needs, discovery, probes, a
-// few clients on their way.
-const apprentice = own + mostCallers + 12
+// followerDescriptors is how many descriptors the younger process gets before it leads: its reserved ones, connections
+// to the second address, discovery, probes, and a few clients that are being passed on.
+const followerDescriptors = reservedDescriptors + maxAdminConns + 12
 
-// shareOut tells the younger process how many descriptors it may have; the rest is for us.
-func (n *Node) shareOut(most int) {
-	if n.cfg.MaxSockets > 0 && n.link.send(handover.Message{Kind: handover.KindDescriptorLimit, Number: most}) {
-		n.share = n.cfg.MaxSockets - most
+// grantDescriptors allots descriptors to the younger process; the rest remains for this one.
+func (n *Node) grantDescriptors(granted int) {
+	if n.cfg.MaxSockets > 0 && n.link.send(handover.Message{Kind: handover.KindDescriptorLimit, Number: granted}) {
+		n.descriptorShare = n.cfg.MaxSockets - granted
 	}
 }
 
-// stepBack has the younger process lead, and hands over to it.
-func (n *Node) stepBack() {
+// yieldLead makes the younger process the leading one; connections are then handed over to it.
+func (n *Node) yieldLead() {
 	if n.link == nil || !n.leading || !n.link.send(handover.Message{Kind: handover.KindActivate}) {
 		return
 	}
@@ -89,38 +91,41 @@
 	n.leading = false
 }
 
-// handOver passes on what can be, and tells whether all is; then the listener has ended too.
-func (n *Node) handOver(now time.Duration) bool {
+// handOverAll passes on all connections that it can, and reports whether all are passed on and the listener is closed.
+func (n *Node) handOverAll(now time.Duration) bool {
 	for _, d := range n.downstreams.All() {
 		if d.passOn(now) {
-			n.end(d.conn, false)
+			n.closeConn(d.conn, false)
 		}
 	}
-	if n.link != nil && n.link.elder {
-		if needs := n.share - n.left() + apprentice; needs < n.share { // what has gone makes room there
-			n.shareOut(n.cfg.MaxSockets - needs)
+	if n.link != nil && n.link.older {
+		// Descriptors of connections that were passed on become available to the other process.
+		if needs := n.descriptorShare - n.descriptorsLeft() + followerDescriptors; needs < n.descriptorShare {
+			n.grantDescriptors(n.cfg.MaxSockets - needs)
 		}
 	}
 	if n.downstreams.Len() > 0 || n.table.Len() > 0 {
 		return false
 	}
-	if n.closingSince == 0 { // those whose connection has begun are still accepted; who asks again finds the other process
+	// Handshakes in progress are still accepted; a client that repeats its SYN reaches the other process.
+	if n.closingSince == 0 {
 		n.closingSince = now
-		n.admitHandshakes(false)
+		n.allowHandshakes(false)
 	}
-	return now-n.closingSince >= drainCheck && n.shut()
+	return now-n.closingSince >= drainCheckInterval && n.closeListener()
 }
 
-// shut ends the listener if nobody waits there. Danger: ending it resets those that do, so nothing may come between
-// the question and the end, not even our report.
-func (n *Node) shut() bool {
+// closeListener closes the listener unless connections are waiting to be accepted, and reports whether it is closed.
+// Closing resets connections in the accept queue, so nothing, not even our log output, may come between the check and
+// the close.
+func (n *Node) closeListener() bool {
 	fd, err := n.engine.DupListener("tcp", n.cfg.ListenAddr)
 	if err != nil {
-		return !failedHere(err) // else it has ended already
+		return !isLocalFailure(err) // for any other error it is closed already
 	}
 	defer syscall.Close(fd)
 	info, err := unix.GetsockoptTCPInfo(fd, unix.IPPROTO_TCP, unix.TCP_INFO)
-	if err == nil && info.Unacked > 0 { // of a listener: the length of its queue
+	if err == nil && info.Unacked > 0 { // for a listener: the length of its accept queue
 		return false
 	}
 	_ = syscall.Shutdown(fd, syscall.SHUT_RDWR)
--- a/internal/net/inherit_test.go
+++ b/internal/net/inherit_test.go
@@ -10,9 +10,9 @@
 	"tealtiller/internal/handover"
 )
 
-// A client's socket comes from the other process with a request that was read there, and the client has left meanwhile: nothing
-// is tried for it, and one that has ended its sending only is told.
-func TestWhoLeftOnTheWayToTheOtherProcess(t *testing.T) {
+// A client's socket comes from the other process with a request that was read there, but the client has disconnected
+// meanwhile: no attempt is made, and a client that has only ended its sending gets an error line.
+func TestClientLeavesDuringHandover(t *testing.T) {
 	r := newRig(t)
 	require.NoError(t, r.step("first connect"))
 	listener, err := stdnet.Listen("tcp", "127.0.0.1:0")
--- a/internal/net/interrupted.go
+++ b/internal/net/interrupted.go
@@ -2,9 +2,9 @@
 
 import "syscall"
 
-// uninterrupted makes a system call again for as long as a signal interrupts it. Danger: poll ends so even where it does not wait,
-// and the Go runtime sends itself signals all the time.
-func uninterrupted(call func() (int, error)) (int, error) {
+// retryOnEINTR repeats a system call while it is interrupted by a signal. Even a poll without a timeout may be
+// interrupted, and the Go runtime sends itself signals all the time.
+func retryOnEINTR(call func() (int, error)) (int, error) {
 	for {
 		n, err := call()
 		if err != syscall.EINTR {
@@ -13,10 +13,10 @@
 	}
 }
 
-// writeAll writes until all is written or the system takes no more, and tells whether all was.
+// writeAll writes until all data is written or the system takes no more, and reports whether all was written.
 func writeAll(data []byte, write func([]byte) (int, error)) bool {
 	for len(data) > 0 {
-		n, err := uninterrupted(func() (int, error) { return write(data) })
+		n, err := retryOnEINTR(func() (int, error) { return write(data) })
 		if err != nil || n <= 0 {
 			return false
 		}
--- a/internal/net/interrupted_test.go
+++ b/internal/net/interrupted_test.go
@@ -7,14 +7,14 @@
 	"github.com/stretchr/testify/assert"
 )
 
-// result is what a system call gives.
+// result is the result of a system call.
 type result struct {
 	n   int
 	err error
 }
 
-// giving is a write that gives one result after the other, and keeps what it took.
-func giving(taken *[]byte, results ...result) func([]byte) (int, error) {
+// scriptedWrite is a write that returns the given results in turn, and keeps the data it accepted.
+func scriptedWrite(taken *[]byte, results ...result) func([]byte) (int, error) {
 	return func(data []byte) (int, error) {
 		r := results[0]
 		results = results[1:]
@@ -32,7 +32,7 @@
 		all     bool
 		taken   string
 	}{
-		"whole":              {[]result{{5, nil}}, true, "hello"},
+		"complete":           {[]result{{5, nil}}, true, "hello"},
 		"short":              {[]result{{2, nil}, {1, nil}, {2, nil}}, true, "hello"},
 		"interrupted":        {[]result{interrupted, interrupted, {5, nil}}, true, "hello"},
 		"short, interrupted": {[]result{{2, nil}, interrupted, {3, nil}}, true, "hello"},
@@ -43,15 +43,15 @@
 	for name, c := range cases {
 		t.Run(name, func(t *testing.T) {
 			var taken []byte
-			assert.Equal(t, c.all, writeAll([]byte("hello"), giving(&taken, c.results...)))
+			assert.Equal(t, c.all, writeAll([]byte("hello"), scriptedWrite(&taken, c.results...)))
 			assert.Equal(t, c.taken, string(taken))
 		})
 	}
 }
 
-func TestUninterrupted(t *testing.T) {
+func TestRetryOnEINTR(t *testing.T) {
 	calls := 0
-	n, err := uninterrupted(func() (int, error) {
+	n, err := retryOnEINTR(func() (int, error) {
 		if calls++; calls < 3 {
 			return -1, syscall.EINTR
 		}
--- a/internal/net/large_test.go
+++ b/internal/net/large_test.go
@@ -10,10 +10,10 @@
 	"github.com/stretchr/testify/require"
 )
 
-// held is what a node holds of the list.
-type held struct{ listed, addresses int }
+// listSizes is how many hosts a node has from the list.
+type listSizes struct{ listed, addresses int }
 
-func (r *rig) holds() (out held) {
+func (r *rig) listSizes() (out listSizes) {
 	done := make(chan struct{})
 	r.node.post(func(now time.Duration) {
 		defer close(done)
@@ -24,36 +24,36 @@
 	return out
 }
 
-// One of 1,024 balancers starts with 1,024 desk hosts in its configuration; discovery then tells a whole list of as many,
-// half of them new, and replaces all in one change. Danger: a table with a cap would forget hosts without a word.
-func TestNodeTakesListsOf1024Hosts(t *testing.T) {
-	const most = 1024
+// One of 1,024 balancers starts with 1,024 desk hosts in its configuration; discovery then sends a complete list of as
+// many, half of them new, and replaces all of them in one change. A table of limited size would drop hosts silently.
+func TestListsOf1024Hosts(t *testing.T) {
+	const hostCount = 1024
 	r := newRig(t)
-	r.set["hosts"], r.set["dead"], r.set["siblings"] = "1", fmt.Sprint(most-1), fmt.Sprint(most)
-	asks := func(first string) {
+	r.settings["hosts"], r.settings["dead"], r.settings["siblings"] = "1", fmt.Sprint(hostCount-1), fmt.Sprint(hostCount)
+	expectCall := func(first string) {
 		for _, step := range []string{first, "pool expect Host: *", "pool expect "} {
 			require.NoError(t, r.step(step))
 		}
 	}
 	require.NoError(t, r.step("pool accept"))
-	asks("pool expect GET /discovery/hosts HTTP/1.1")
-	assert.Equal(t, held{most, most}, r.holds(), "of the configuration")
+	expectCall("pool expect GET /discovery/hosts HTTP/1.1")
+	assert.Equal(t, listSizes{hostCount, hostCount}, r.listSizes(), "list of the configuration")
 
-	require.NoError(t, r.peer("pool", "answer", listFrom(77, true, "in_service", most/2, most)))
-	asks("pool expect GET /discovery/hosts?since=77&timeout_ms=* HTTP/1.1")
-	assert.Equal(t, most, r.holds().listed, "the whole list takes the place of the other")
+	require.NoError(t, r.peer("pool", "answer", listFrom(77, true, "in_service", hostCount/2, hostCount)))
+	expectCall("pool expect GET /discovery/hosts?since=77&timeout_ms=* HTTP/1.1")
+	assert.Equal(t, hostCount, r.listSizes().listed, "a complete list replaces the previous one")
 
-	gone := listFrom(78, false, "terminated", most/2, most)
+	gone := listFrom(78, false, "terminated", hostCount/2, hostCount)
 	require.NoError(t, r.peer("pool", "answer", gone))
-	asks("pool expect GET /discovery/hosts?since=78&timeout_ms=* HTTP/1.1")
-	assert.Zero(t, r.holds().listed)
+	expectCall("pool expect GET /discovery/hosts?since=78&timeout_ms=* HTTP/1.1")
+	assert.Zero(t, r.listSizes().listed)
 
-	require.NoError(t, r.peer("pool", "answer", listFrom(79, false, "in_service", 4*most, most)))
-	asks("pool expect GET /discovery/hosts?since=79&timeout_ms=* HTTP/1.1")
-	assert.Equal(t, most, r.holds().listed)
+	require.NoError(t, r.peer("pool", "answer", listFrom(79, false, "in_service", 4*hostCount, hostCount)))
+	expectCall("pool expect GET /discovery/hosts?since=79&timeout_ms=* HTTP/1.1")
+	assert.Equal(t, hostCount, r.listSizes().listed)
 }
 
-// listFrom is a list of so many desk hosts, numbered from a first one, at addresses where nobody listens.
+// listFrom is a list of count desk hosts, numbered from first, at addresses where nobody listens.
 func listFrom(revision int, complete bool, phase string, first, count int) string {
 	members := make([]string, count)
 	for i := range members {
--- a/internal/net/loop.go
+++ b/internal/net/loop.go
@@ -14,15 +14,16 @@
 	"github.com/panjf2000/gnet/v2"
 )
 
-// socket is what stands behind a gnet connection.
+// socket handles the events of one gnet connection. It is attached to the connection as its context.
 type socket interface {
 	opened(now time.Duration, c gnet.Conn) gnet.Action
 	traffic(now time.Duration)
-	detach(reset bool) // the connection must not be touched after this
+	detach(reset bool) // the connection must not be used after this call
 	closed(now time.Duration, reset bool)
 }
 
-// gnetLog puts what gnet complains of into our log, until the node ends its listener, of which gnet complains too.
+// gnetLog passes gnet's errors to the node's log, until the node stops: then gnet reports the closed listener as an
+// error.
 type gnetLog struct {
 	log     *slog.Logger
 	stopped <-chan struct{}
@@ -32,7 +33,7 @@
 
 func (l gnetLog) Infof(string, ...any) {}
 
-func (l gnetLog) Warnf(string, ...any) {} // of connections that we have closed meanwhile
+func (l gnetLog) Warnf(string, ...any) {} // about connections that are closed already
 
 func (l gnetLog) Errorf(format string, args ...any) {
 	select {
@@ -44,34 +45,35 @@
 
 func (l gnetLog) Fatalf(format string, args ...any) { l.Errorf(format, args...) }
 
-// OnBoot keeps the engine.
+// OnBoot stores the engine.
 func (n *Node) OnBoot(e gnet.Engine) gnet.Action {
 	n.engine = e
 	return gnet.None
 }
 
-// OnTick runs beside the loop, first when the loop has started. A loop is known to its connections alone, so
-// one is opened for no other purpose than to start the node there.
+// OnTick is called outside the loop, first when the loop has started. gnet gives access to a loop only through its
+// connections, so a connection is opened for the sole purpose of starting the node on the loop.
 func (n *Node) OnTick() (time.Duration, gnet.Action) {
 	select {
-	case <-n.booted: // by a client who came first
+	case <-n.booted: // by the first client
 		return 24 * time.Hour, gnet.None
 	default:
 	}
-	err := n.ring()
+	err := n.openStartSocket()
 	if err == nil {
 		return 24 * time.Hour, gnet.None
 	}
-	if !n.waits { // once: it is tried again each second, and the first client starts the node too
+	if !n.startFailureLogged { // log once: it is tried again every second, and the first client starts the node too
 		n.log.Warn("start-waits", "reason", err)
 	}
-	n.waits = true
+	n.startFailureLogged = true
 	return time.Second, gnet.None
 }
 
-type bell struct{ socket }
+// startSocket marks the connection opened by OnTick.
+type startSocket struct{ socket }
 
-func (n *Node) ring() error {
+func (n *Node) openStartSocket() error {
 	pair, err := syscall.Socketpair(syscall.AF_UNIX, syscall.SOCK_STREAM|syscall.SOCK_CLOEXEC, 0)
 	if err != nil {
 		return fmt.Errorf("socket pair: %w", err)
@@ -83,36 +85,36 @@
 	if err != nil {
 		return fmt.Errorf("socket pair: %w", err)
 	}
-	_, err = n.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), bell{}), c))
+	_, err = n.engine.Register(gnet.NewNetConnContext(gnet.NewContext(context.Background(), startSocket{}), c))
 	return err
 }
 
-// now is Unix time as it was at the start, advanced by the monotonic clock: a step of the wall clock moves nothing that is
-// waited for, and with that origin a desk host that started shortly before this process is known to be cold.
+// now is the Unix time of the process start, advanced by the monotonic clock. Steps of the wall clock do not move
+// deadlines, and with that origin a desk host that started shortly before this process counts as cold.
 func (n *Node) now() time.Duration {
 	return time.Duration(n.origin.UnixNano()) + time.Since(n.origin)
 }
 
-// post has the loop run an event; it may be called from any goroutine.
+// post runs an event on the loop. It may be called from any goroutine.
 func (n *Node) post(event func(now time.Duration)) {
 	_ = n.loop.Execute(context.Background(), gnet.RunnableFunc(func(context.Context) error {
-		n.do(event)
+		n.runEvent(event)
 		return nil
 	}))
 }
 
-// do runs an event on the loop, then what has fallen due. Danger: a failed write closes its connection at
-// once, in the middle of another event; what is reported then waits its turn.
-func (n *Node) do(event func(now time.Duration)) {
-	n.events = append(n.events, event)
-	if n.busy {
+// runEvent runs an event on the loop, followed by all deadlines that are due. A failed write closes its connection
+// immediately, in the middle of another event; the events that this causes are queued until the current one is over.
+func (n *Node) runEvent(event func(now time.Duration)) {
+	n.pendingEvents = append(n.pendingEvents, event)
+	if n.runningEvents {
 		return
 	}
-	n.busy = true
+	n.runningEvents = true
 	for {
-		for len(n.events) > 0 {
-			next := n.events[0]
-			n.events = n.events[1:]
+		for len(n.pendingEvents) > 0 {
+			next := n.pendingEvents[0]
+			n.pendingEvents = n.pendingEvents[1:]
 			next(n.now())
 		}
 		now := n.now()
@@ -121,12 +123,12 @@
 		}
 		n.deadlines.Run(now)
 	}
-	n.busy = false
-	n.rearm()
+	n.runningEvents = false
+	n.resetTimer()
 }
 
-// rearm has the loop woken at the earliest deadline.
-func (n *Node) rearm() {
+// resetTimer wakes the loop at the earliest deadline.
+func (n *Node) resetTimer() {
 	at, ok := n.deadlines.Next()
 	if !ok || at == n.timerAt {
 		return
@@ -140,12 +142,12 @@
 	n.timer.Reset(wait)
 }
 
-// OnOpen fires on the loop for accepted, dialled and enrolled connections.
+// OnOpen is called for accepted, dialled and enrolled connections.
 func (n *Node) OnOpen(c gnet.Conn) ([]byte, gnet.Action) {
 	if n.loop == nil {
 		n.boot(c.EventLoop())
 	}
-	if _, ok := c.Context().(bell); ok {
+	if _, ok := c.Context().(startSocket); ok {
 		return nil, gnet.Close
 	}
 	s, ok := c.Context().(socket)
@@ -153,38 +155,38 @@
 	case ok:
 		n.connections++
 		n.dialling--
-		n.doubled++
-	case n.admin != "" && c.LocalAddr().String() == n.admin:
-		s = &caller{node: n}
+		n.duplicates++
+	case n.adminAddress != "" && c.LocalAddr().String() == n.adminAddress:
+		s = &adminConn{node: n}
 	default:
 		n.connections++
 		s = newDownstream(n)
 	}
 	c.SetContext(s)
 	action := gnet.None
-	n.do(func(now time.Duration) { action = s.opened(now, c) })
+	n.runEvent(func(now time.Duration) { action = s.opened(now, c) })
 	return nil, action
 }
 
-// OnTraffic fires on the loop when bytes have come.
+// OnTraffic is called when data has arrived.
 func (n *Node) OnTraffic(c gnet.Conn) gnet.Action {
 	if s, ok := c.Context().(socket); ok {
-		n.do(s.traffic)
+		n.runEvent(s.traffic)
 	}
 	return gnet.None
 }
 
-// OnClose fires on the loop when a connection has ended, by our own doing too.
+// OnClose is called when a connection has ended, also when this process closed it.
 func (n *Node) OnClose(c gnet.Conn, err error) gnet.Action {
 	s, ok := c.Context().(socket)
-	if _, isBell := c.Context().(bell); !ok || isBell {
+	if _, isStart := c.Context().(startSocket); !ok || isStart {
 		return gnet.None
 	}
-	if _, calls := s.(*caller); !calls {
+	if _, isAdmin := s.(*adminConn); !isAdmin {
 		n.connections--
 	}
 	reset := err != nil && !errors.Is(err, io.EOF)
 	s.detach(reset)
-	n.do(func(now time.Duration) { s.closed(now, reset) })
+	n.runEvent(func(now time.Duration) { s.closed(now, reset) })
 	return gnet.None
 }
--- a/internal/net/gate_test.go
+++ b/internal/net/maywrite_test.go
@@ -10,36 +10,36 @@
 	"tealtiller/policy"
 )
 
-// Just before the first line is written the gate is asked: a client that has left, though the loop has not read so yet, and a
-// deadline that is due, though it has not run yet, end the attempt unsent.
-func TestGateBeforeTheFirstLine(t *testing.T) {
+// An attempt is checked just before its OPEN line is written: it ends unsent if the client has disconnected, although
+// the loop has not read the end yet, or if a deadline is due, although it has not run yet.
+func TestAttemptCheckedBeforeOpenIsWritten(t *testing.T) {
 	r := newRig(t)
-	r.set["connect"] = "9s"
+	r.settings["connect"] = "9s"
 	for _, step := range []string{"hold", "a connect", "a send OPEN 1 a c=lookup,d=9000", "wait count attempts sent 1"} {
 		require.NoError(t, r.step(step))
 	}
-	ask := func(before func(u *upstream), later time.Duration) (result policy.Result, ok bool) {
+	check := func(prepare func(u *upstream), later time.Duration) (result policy.Result, ok bool) {
 		done := make(chan struct{})
 		r.node.post(func(now time.Duration) {
 			defer close(done)
 			for _, u := range r.node.upstreams.All() {
-				before(u)
+				prepare(u)
 				result, ok = u.writable(now + later)
 			}
 		})
 		<-done
 		return result, ok
 	}
-	nothing := func(*upstream) {}
-	_, ok := ask(nothing, 0)
+	unchanged := func(*upstream) {}
+	_, ok := check(unchanged, 0)
 	assert.True(t, ok)
-	result, ok := ask(nothing, 9*time.Second)
+	result, ok := check(unchanged, 9*time.Second)
 	assert.False(t, ok)
 	assert.Equal(t, policy.ConnectFailed, result)
-	result, ok = ask(func(u *upstream) {
-		assert.NoError(t, r.step("a send hello")) // bytes that lie before its end
+	result, ok = check(func(u *upstream) {
+		assert.NoError(t, r.step("a send hello")) // bytes that precede the end
 		assert.NoError(t, r.step("a close"))
-		require.Eventually(t, u.downstream.hungUp, limit, time.Millisecond)
+		require.Eventually(t, u.downstream.peerClosed, stepTimeout, time.Millisecond)
 	}, 0)
 	assert.False(t, ok)
 	assert.Equal(t, policy.NotSent, result)
--- a/internal/net/mutation_test.go
+++ b/internal/net/mutation_test.go
@@ -15,8 +15,8 @@
 	"tealtiller/internal/mutation"
 )
 
-// lines is a short correct run of a client and its desk host; the desk host ends the connection after it.
-var lines = []mutation.Message{
+// messages is a short correct exchange of a client and its desk host, after which the desk host closes the connection.
+var messages = []mutation.Message{
 	{From: "client", To: "desk", Kind: "opening", Body: []byte("OPEN 1f a c=lookup,d=300\r\n")},
 	{From: "desk", To: "client", Kind: "up", Body: []byte("UP r1\r\n")},
 	{From: "client", To: "desk", Kind: "line", Body: []byte("hello\r\n")},
@@ -25,23 +25,23 @@
 	{From: "desk", To: "client", Kind: "bye", Body: []byte("BYE\r\n")},
 }
 
-// A short run with one line changed, by each change there is: the client has one final answer, after UP nothing but whole
-// lines of its desk host, and at most MOVE behind them; nothing is owed and nothing stands when it has gone.
-func TestOneLineChanged(t *testing.T) {
+// A short exchange with one line mutated, by each kind of mutation: the client gets one final answer, after UP nothing
+// but complete lines of its desk host, followed by at most MOVE; no request or connection is left when it has gone.
+func TestMutatedLine(t *testing.T) {
 	cases := 0
-	for c := range mutation.Cases(lines, mutation.Options{MaxPositions: 12}) {
+	for c := range mutation.Cases(messages, mutation.Options{MaxPositions: 12}) {
 		cases++
 		t.Run(fmt.Sprint(c.Index), func(t *testing.T) {
 			t.Parallel()
-			playLines(t, c)
+			playMessages(t, c)
 		})
 	}
 	assert.Greater(t, cases, 120)
 }
 
-func playLines(t *testing.T, c mutation.Case) {
+func playMessages(t *testing.T, c mutation.Case) {
 	r := newRig(t)
-	r.set["patience"] = "200ms"
+	r.settings["patience"] = "200ms"
 	r.start()
 	var client, fromHost []byte
 	for _, m := range c.Run {
@@ -51,25 +51,25 @@
 			fromHost = append(fromHost, m.Body...)
 		}
 	}
-	over := make(chan struct{})
-	go func() { // its only desk host, which answers each attempt alike
+	done := make(chan struct{})
+	go func() { // the only desk host, which answers each attempt alike
 		for {
 			select {
 			case d := <-r.upstreams:
-				go answerAlike(d, fromHost)
-			case <-over: // danger: an attempt given up may still reach r.upstreams, so it is never closed
+				go answerEveryAttempt(d, fromHost)
+			case <-done: // an abandoned attempt may still send to r.upstreams, so that is never closed
 				return
 			}
 		}
 	}()
-	t.Cleanup(func() { close(over) })
+	t.Cleanup(func() { close(done) })
 	require.NoError(t, r.step("a connect"))
 	_, err := r.peers["a"].Write(client)
 	require.NoError(t, err)
 	got, err := io.ReadAll(r.peers["a"].r)
 	require.NoError(t, err, "%v: %q", c, got)
-	first, rest, whole := strings.Cut(string(got), "\r\n")
-	require.True(t, whole, "%v: %q", c, got)
+	first, rest, complete := strings.Cut(string(got), "\r\n")
+	require.True(t, complete, "%v: %q", c, got)
 	word, _, _ := strings.Cut(first, " ")
 	switch word {
 	case "UP":
@@ -81,12 +81,12 @@
 		t.Errorf("%v: %q", c, got)
 	}
 	require.NoError(t, r.peers["a"].Close())
-	require.NoError(t, r.ask("0", func() int64 { return int64(r.node.table.Len() + r.node.downstreams.Len()) }), "%v", c)
+	require.NoError(t, r.waitForValue("0", func() int64 { return int64(r.node.table.Len() + r.node.downstreams.Len()) }), "%v", c)
 }
 
-// answerAlike reads a first line and answers it, whatever it says.
-func answerAlike(d stdnet.Conn, answer []byte) {
-	_ = d.SetDeadline(time.Now().Add(limit))
+// answerEveryAttempt reads a first line and sends the same answer, whatever the line is.
+func answerEveryAttempt(d stdnet.Conn, answer []byte) {
+	_ = d.SetDeadline(time.Now().Add(stepTimeout))
 	one := make([]byte, 1)
 	for n, err := d.Read(one); n > 0 && err == nil && one[0] != '\n'; n, err = d.Read(one) {
 	}
--- a/internal/net/peer_test.go
+++ b/internal/net/peer_test.go
@@ -44,9 +44,9 @@
 	case "accept":
 		from := r.upstreams
 		if strings.HasPrefix(who, "pool") {
-			from = r.pools
+			from = r.discoveryConns
 		}
-		return r.within(func() error { p.take(<-from); return nil })
+		return r.withTimeout(func() error { p.take(<-from); return nil })
 	case "send":
 		line, open := strings.CutSuffix(text, "...")
 		if !open {
@@ -86,23 +86,23 @@
 		_ = p.SetLinger(0)
 		return p.Close()
 	default:
-		return errors.New("no such step")
+		return fmt.Errorf("unknown step %q", verb)
 	}
 	return nil
 }
 
 func (p *peer) take(c stdnet.Conn) {
 	p.TCPConn, p.r = c.(*stdnet.TCPConn), bufio.NewReader(c)
-	_ = c.SetDeadline(time.Now().Add(limit))
+	_ = c.SetDeadline(time.Now().Add(stepTimeout))
 }
 
-func (r *rig) within(f func() error) error {
+func (r *rig) withTimeout(f func() error) error {
 	done := make(chan error, 1)
 	go func() { done <- f() }()
 	select {
 	case err := <-done:
 		return err
-	case <-time.After(limit):
-		return errors.New("it never came")
+	case <-time.After(stepTimeout):
+		return fmt.Errorf("step not completed within %v", stepTimeout)
 	}
 }
--- a/internal/net/probe.go
+++ b/internal/net/probe.go
@@ -11,151 +11,162 @@
 	"tealtiller/policy"
 )
 
-// report is what a desk host's load reports tell.
-type report struct {
-	x0        float64       // load asked of it over what it can do
-	util      float64       // how busy its cores are; the mean with the report before, where that told another
-	busy      float64       // util as last told
-	at        time.Duration // when that came; 0 before the first
-	backlog   time.Duration // work that must have piled up
-	madeAt    time.Duration // when the desk host took the report, about
-	droppedAt time.Duration // when it last dropped a connection
-	open      int           // connections of ours that stand there
-	since     int           // those of them that came up after the report was made
+// loadReport is what is known from the load reports of a desk host.
+type loadReport struct {
+	load            float64       // requested load relative to capacity
+	utilisation     float64       // CPU utilisation, averaged with the report before if that differed
+	lastUtilisation float64       // utilisation as last reported
+	receivedAt      time.Duration // when the report was received; 0 before the first
+	backlog         time.Duration // estimate of the work that has accumulated
+	madeAt          time.Duration // estimate of when the desk host made the report
+	droppedAt       time.Duration // when the desk host last dropped a connection
+	connections     int           // established connections of this balancer at the host
+	openedSince     int           // those of them established after madeAt
 }
 
-// staleAfter is for how long a report is believed.
-const staleAfter = 2 * probeIdle
+// reportLifetime is how long a report is used.
+const reportLifetime = 2 * idleProbeInterval
 
-// reportAge is how old what a report tells is when we act on it: it is refreshed each 0.4 to 1.3 s, comes 0.1 to
-// 0.5 s late, and we ask each 0.5 s.
-const reportAge = time.Second
+// typicalReportAge is the age of the information in a report when it is used: hosts refresh it every 0.4 to 1.3 s, it
+// arrives 0.1 to 0.5 s late, and probes are sent every 0.5 s.
+const typicalReportAge = time.Second
 
-// learn takes a report. What was asked beyond what it can do since the last one has piled up; what it could
-// have done beyond what was asked has been worked off. Where the load has just gone over, it did so before
-// the report was made.
+// update takes in a report. Load above the capacity since the last report has accumulated as backlog, and spare
+// capacity has reduced it. If the load has just exceeded the capacity, it did so before the report was made.
 //
-// Reports are late and miss what piled up between two of them. But cores that stay busy beyond the load asked
-// are working something off, and cores with time to spare have nothing left; the mean of two reports tells of
-// no time to spare while more is asked than they can do.
-func (r *report) learn(now time.Duration, x0, util float64) {
-	if r.at > 0 {
-		span := min(now-r.at, staleAfter)
-		if r.x0 < 1 && x0 > 1 {
-			span = reportAge
+// Reports are late and miss backlog that builds up between them. But cores busier than the load explains are working
+// off a backlog, and cores with time to spare have none. Averaged utilisation is no sign of spare time while more is
+// requested than the host can serve.
+func (r *loadReport) update(now time.Duration, load, utilisation float64) {
+	if r.receivedAt > 0 {
+		span := min(now-r.receivedAt, reportLifetime)
+		if r.load < 1 && load > 1 {
+			span = typicalReportAge
 		}
-		r.backlog = max(r.backlog+time.Duration((x0-1)*float64(span)), 0)
+		r.backlog = max(r.backlog+time.Duration((load-1)*float64(span)), 0)
 	}
-	if x0 != r.x0 {
-		r.madeAt = now - reportAge/2
-		r.util = util
-		if r.busy > 0 {
-			r.util = (util + r.busy) / 2
+	if load != r.load {
+		r.madeAt = now - typicalReportAge/2
+		r.utilisation = utilisation
+		if r.lastUtilisation > 0 {
+			r.utilisation = (utilisation + r.lastUtilisation) / 2
 		}
-		r.busy = util
+		r.lastUtilisation = utilisation
 	}
 	switch {
-	case r.util > 0 && r.util < notBusy && x0 < 1:
+	case r.utilisation > 0 && r.utilisation < spareUtilisation && load < 1:
 		r.backlog = 0
-	case r.util >= fullyBusy:
-		r.backlog = max(r.backlog, unseenBacklog)
+	case r.utilisation >= fullUtilisation:
+		r.backlog = max(r.backlog, assumedBacklog)
 	}
-	r.x0, r.at = x0, now
+	r.load, r.receivedAt = load, now
 }
 
-// shed takes that a desk host has dropped a connection, and tells whether that was for want of room. One alone
-// breaks for other reasons too: where the last report shows room, it takes a second one to belie it.
-func (r *report) shed(now time.Duration) bool {
-	room := r.at > 0 && now-r.at <= staleAfter && r.x0 < crowded
-	again := r.droppedAt > 0 && now-r.droppedAt <= reportAge
+// connectionDropped handles a connection dropped by the host, and reports whether that indicates overload. One may
+// break for other reasons: if the last report shows spare capacity, it takes a second drop.
+func (r *loadReport) connectionDropped(now time.Duration) bool {
+	hasCapacity := r.receivedAt > 0 && now-r.receivedAt <= reportLifetime && r.load < crowdedLoad
+	repeated := r.droppedAt > 0 && now-r.droppedAt <= typicalReportAge
 	r.droppedAt = now
-	if room && !again {
+	if hasCapacity && !repeated {
 		return false
 	}
-	r.x0, r.at = max(r.x0, 1), now
-	r.backlog = max(r.backlog, shedBacklog)
+	r.load, r.receivedAt = max(r.load, 1), now
+	r.backlog = max(r.backlog, droppedBacklog)
 	return true
 }
 
-// shedBacklog is what has piled up at the least where a desk host drops connections.
-const shedBacklog = 500 * time.Millisecond
-
-const notBusy, fullyBusy, unseenBacklog = 0.9, 0.96, 100 * time.Millisecond
+const (
+	spareUtilisation = 0.9                    // below this, cores have time to spare and the backlog is 0
+	fullUtilisation  = 0.96                   // from this on, a backlog is assumed
+	assumedBacklog   = 100 * time.Millisecond // minimum backlog from fullUtilisation on
+	droppedBacklog   = 500 * time.Millisecond // minimum backlog of a host that drops connections
+)
 
-// crowded tells whether the last report, not too old, has the desk host near its capacity.
-func (r *report) crowded(now time.Duration) bool {
-	return r.at > 0 && now-r.at <= staleAfter && r.x0 >= crowded
+// isCrowded reports whether the last report is recent and shows the desk host near its capacity.
+func (r *loadReport) isCrowded(now time.Duration) bool {
+	return r.receivedAt > 0 && now-r.receivedAt <= reportLifetime && r.load >= crowdedLoad
 }
 
-// expected is how long a message takes there, by the reports.
-func (r *report) expected(now time.Duration) time.Duration {
-	if r.at == 0 || now-r.at > staleAfter {
+// expectedDelay is the expected delay of a message according to the reports; 0 if they are too old.
+func (r *loadReport) expectedDelay(now time.Duration) time.Duration {
+	if r.receivedAt == 0 || now-r.receivedAt > reportLifetime {
 		return 0
 	}
-	return r.backlog + time.Duration(float64(idleMessage)/(1-min(r.grown(), nearFull)))
+	return r.backlog + time.Duration(float64(idleMessageDelay)/(1-min(r.currentLoad(), maxDelayLoad)))
 }
 
-// grown is the load by now: what has come up since the report counts as what stood, for the other balancers send
-// there as we do.
-func (r *report) grown() float64 { return r.x0 * float64(r.open+1) / float64(r.open-r.since+1) }
+// currentLoad extrapolates the reported load to the connections established since: other balancers are assumed to add
+// about as many as this one.
+func (r *loadReport) currentLoad() float64 {
+	return r.load * float64(r.connections+1) / float64(r.connections-r.openedSince+1)
+}
 
-// next is when to ask for the next report. A desk host refreshes its own about once a second. One with room is
-// asked less often, for it costs it work; but one that is filling is full before an idle one would be asked again.
-func (r *report) next() time.Duration {
+// nextProbeAfter is the time until the next probe. Hosts refresh their report about once a second. Probes cost them
+// work, so hosts with spare capacity get fewer; but one that is filling up would be full before an idle probe.
+func (r *loadReport) nextProbeAfter() time.Duration {
 	switch {
-	case r.grown() >= crowded || r.backlog > 0:
-		return probeEvery
-	case r.grown() >= filling:
-		return 2 * probeEvery
+	case r.currentLoad() >= crowdedLoad || r.backlog > 0:
+		return probeInterval
+	case r.currentLoad() >= fillingLoad:
+		return 2 * probeInterval
 	}
-	return probeIdle
+	return idleProbeInterval
 }
 
-const probeEvery, probeIdle = 500 * time.Millisecond, 3 * time.Second
-
-const filling, crowded = 0.4, 0.7
+const (
+	probeInterval     = 500 * time.Millisecond // of crowded hosts
+	idleProbeInterval = 3 * time.Second        // of hosts with spare capacity
+	fillingLoad       = 0.4                    // from this load on, a host is probed more often
+	crowdedLoad       = 0.7                    // from this load on, a host counts as crowded
+)
 
-// Messages slow down as a desk host nears its capacity, before any work piles up: as in a queue, by one over
-// what is left of it. Near the full that tells nothing more, and stays under the shortest aim here.
-const idleMessage, nearFull = 4 * time.Millisecond, 0.9
+// Messages slow down as a desk host nears its capacity, before any backlog builds up: as in a queue, the delay is that
+// of an idle host divided by the spare capacity. The load is capped at maxDelayLoad, because the formula is
+// meaningless close to full load; the cap also keeps the delay below the shortest message target.
+const (
+	idleMessageDelay = 4 * time.Millisecond
+	maxDelayLoad     = 0.9
+)
 
-// probe is a connection to a desk host on which it is asked for its load report, one question at a time.
+// probe is a connection to a desk host on which load reports are requested, one at a time.
 type probe struct {
-	node   *Node
-	server string
-	lag    *lag
-	conn   gnet.Conn
-	cancel context.CancelFunc
-	over   bool
-	limit  *deadline.Deadline
+	node        *Node
+	server      string
+	status      *hostStatus
+	conn        gnet.Conn
+	cancel      context.CancelFunc
+	ended       bool
+	answerLimit *deadline.Deadline
 }
 
-const probeTimeout = 200 * time.Millisecond
+// defaultProbeTimeout is how long a desk host may take to accept the connection, and to answer a probe.
+const defaultProbeTimeout = 200 * time.Millisecond
 
-// ask asks a desk host for its report, on the connection that is there or on a new one.
-func (n *Node) ask(server string, l *lag, now time.Duration) {
+// probeHost requests a load report, on the existing probe connection or on a new one.
+func (n *Node) probeHost(server string, status *hostStatus, now time.Duration) {
 	address, ok := n.addresses[server]
-	if !ok || l.probe.asking() {
+	if !ok || status.probe.inProgress() {
 		return
 	}
-	if l.probe == nil && n.limited() && n.left() < 2 { // who waits for the report goes on without it after a while
-		n.count.Add("probes not sent: no descriptors")
+	if status.probe == nil && n.descriptorsLimited() && n.descriptorsLeft() < 2 { // the module goes on without the report after a while
+		n.counters.Add("probes not sent: no descriptors")
 		return
 	}
-	n.count.Add("probes sent")
-	n.trace("probe-sent", "host", server, "kept", l.probe != nil)
-	if l.probe != nil {
-		l.probe.send(now)
+	n.counters.Add("probes sent")
+	n.trace("probe-sent", "host", server, "kept", status.probe != nil)
+	if status.probe != nil {
+		status.probe.send(now)
 		return
 	}
-	ctx, cancel := context.WithTimeout(context.Background(), n.probeWait)
-	l.probe = &probe{node: n, server: server, lag: l, cancel: cancel}
-	n.dial(ctx, l.probe, address.String())
+	ctx, cancel := context.WithTimeout(context.Background(), n.probeTimeout)
+	status.probe = &probe{node: n, server: server, status: status, cancel: cancel}
+	n.dial(ctx, status.probe, address.String())
 }
 
 func (p *probe) send(now time.Duration) {
-	p.limit = p.node.deadlines.Set(now+p.node.probeWait, func(now time.Duration) {
-		p.missed(now)
+	p.answerLimit = p.node.deadlines.Set(now+p.node.probeTimeout, func(now time.Duration) {
+		p.unanswered(now)
 		p.close()
 	})
 	p.node.write(p.conn, []byte("STATS\r\n"))
@@ -163,7 +174,7 @@
 
 func (p *probe) opened(now time.Duration, c gnet.Conn) gnet.Action {
 	p.cancel()
-	if p.conn = c; p.over {
+	if p.conn = c; p.ended {
 		return gnet.Close
 	}
 	p.send(now)
@@ -181,50 +192,51 @@
 		if len(text) == 0 {
 			return
 		}
-		p.node.deadlines.Stop(p.limit)
-		p.limit, p.lag.heardAt = nil, now
+		p.node.deadlines.Stop(p.answerLimit)
+		p.answerLimit, p.status.lastReadAt = nil, now
 		kind, rest := line.Parse(text)
-		answered := kind == line.Pong // danger: one that has just started has no figures yet, and is no less well
+		answered := kind == line.Pong // a host that has just started has no figures yet, but is healthy
 		if answered {
 			if x0, ok := line.ReportField(rest, "x0"); ok {
 				util, ok := line.ReportField(rest, "cpu")
 				if !ok {
 					util, _ = line.ReportField(rest, "util")
 				}
-				p.lag.report.learn(now, x0, util)
-				p.node.trace("report", "host", p.server, "x0", x0, "util", util, "backlog", p.lag.report.backlog)
+				p.status.report.update(now, x0, util)
+				p.node.trace("report", "host", p.server, "x0", x0, "util", util, "backlog", p.status.report.backlog)
 			}
 		}
 		_, _ = p.conn.Discard(len(text))
-		p.node.table.Reported(now, p.server, policy.Report{Answered: answered, Load: p.lag.report.grown(), Delay: p.lag.report.expected(now)})
-		if p.node.delays.many { // danger: kept by each of many, they hold as many places as clients do
+		p.node.table.Reported(now, p.server,
+			policy.Report{Answered: answered, Load: p.status.report.currentLoad(), Delay: p.status.report.expectedDelay(now)})
+		if p.node.delays.manyBalancers { // permanent probe connections would occupy as many slots as clients do
 			p.close()
 			return
 		}
 	}
 }
 
-// asking tells whether a question is under way, or its connection. Danger: to drop it then would leave a request that
-// waits for its answer to wait for nothing.
-func (p *probe) asking() bool { return p != nil && (p.conn == nil || p.limit != nil) }
+// inProgress reports whether an answer or the connection is pending. Such a probe must not be dropped: a request that
+// waits for its answer would wait in vain.
+func (p *probe) inProgress() bool { return p != nil && (p.conn == nil || p.answerLimit != nil) }
 
-// close ends the probe; the next one makes a new connection. A nil one has ended.
+// close ends the probe; the next one opens a new connection. A nil receiver is allowed.
 func (p *probe) close() {
-	if p == nil || p.over {
+	if p == nil || p.ended {
 		return
 	}
-	p.over = true
+	p.ended = true
 	p.cancel()
-	p.node.deadlines.Stop(p.limit)
-	if p.lag.probe == p {
-		p.lag.probe = nil
+	p.node.deadlines.Stop(p.answerLimit)
+	if p.status.probe == p {
+		p.status.probe = nil
 	}
-	p.node.end(p.conn, false)
+	p.node.closeConn(p.conn, false)
 }
 
-// missed takes that a question had no answer.
-func (p *probe) missed(now time.Duration) {
-	p.lag.missedAt = now
+// unanswered reports a probe without an answer to the module.
+func (p *probe) unanswered(now time.Duration) {
+	p.status.probeMissedAt = now
 	p.node.trace("probe-missed", "host", p.server)
 	p.node.table.Reported(now, p.server, policy.Report{})
 }
@@ -232,8 +244,8 @@
 func (p *probe) detach(bool) { p.conn = nil }
 
 func (p *probe) closed(now time.Duration, _ bool) {
-	if !p.over {
-		p.missed(now) // by its own doing, or it never came up
+	if !p.ended {
+		p.unanswered(now) // closed by the host, or the dial failed
 	}
 	p.close()
 }
--- a/internal/net/relay.go
+++ b/internal/net/relay.go
@@ -8,16 +8,16 @@
 	"tealtiller/policy"
 )
 
-// relay passes whole lines on to the desk host once the connection stands.
+// relay forwards complete lines to the desk host once the connection is established.
 func (d *downstream) relay(now time.Duration) {
 	u := d.upstream
 	if u != nil && u.up && u.conn == nil {
-		return // its socket is on its way here, or has ended
+		return // the upstream socket is still being enrolled, or has been closed
 	}
 	buf := d.peek()
 	if u == nil || !u.up {
-		if err := early(buf, d.node.buffered()); err != nil {
-			d.malformed(now, err)
+		if err := checkEarlyInput(buf, d.node.maxBuffered()); err != nil {
+			d.rejectMalformed(now, err)
 			d.node.table.ProtocolError(now, d.request)
 		}
 		return
@@ -26,7 +26,7 @@
 	for end < len(buf) {
 		text, err := line.Next(buf[end:])
 		if err != nil {
-			d.malformed(now, err)
+			d.rejectMalformed(now, err)
 			u.close(now, false, policy.Cancelled)
 			return
 		}
@@ -34,20 +34,21 @@
 			break
 		}
 		end += len(text)
-		d.node.count.Add("lines from clients")
+		d.node.counters.Add("lines from clients")
 	}
 	if end == 0 {
 		return
 	}
-	u.asked(now)
+	u.lineForwarded(now)
 	d.node.write(u.conn, buf[:end])
 	if d.conn != nil {
 		d.discard(end)
 	}
 }
 
-// early tells what is wrong with what a client sends before it has its answer. Most wait; a command cannot.
-func early(buf []byte, most int) error {
+// checkEarlyInput checks what a client sends before the answer to its OPEN. Lines wait up to maxBytes; commands are an
+// error.
+func checkEarlyInput(buf []byte, maxBytes int) error {
 	text, err := line.Next(buf)
 	if err != nil {
 		return err
@@ -55,17 +56,17 @@
 	if kind, _ := line.Parse(text); kind.IsCommand() {
 		return errors.New("a command before the answer to OPEN")
 	}
-	if len(buf) > most {
+	if len(buf) > maxBytes {
 		return errors.New("too much before the answer to OPEN")
 	}
 	return nil
 }
 
-// pass hands lines of the desk host to the client.
-func (d *downstream) pass(now time.Duration, lines []byte) {
-	if d.half == nil {
+// forward writes lines of the desk host to the client.
+func (d *downstream) forward(now time.Duration, lines []byte) {
+	if d.halfClosed == nil {
 		d.node.write(d.conn, lines)
-	} else if !d.half.write(lines) {
+	} else if !d.halfClosed.write(lines) {
 		d.upstream.close(now, true, policy.Cancelled)
 	}
 }
--- a/internal/net/broken_test.go
+++ b/internal/net/reset_test.go
@@ -13,39 +13,40 @@
 	"golang.org/x/sys/unix"
 )
 
-// endOf keeps how it was told that its connection has ended.
-type endOf struct {
+// endRecorder records whether the end of its connection was reported as a reset.
+type endRecorder struct {
 	socket
-	detached, closedSo bool
+	detached, closedByReset bool
 }
 
-func (e *endOf) detach(reset bool)                  { e.detached = reset }
-func (e *endOf) closed(_ time.Duration, reset bool) { e.closedSo = reset }
+func (e *endRecorder) detach(reset bool)                  { e.detached = reset }
+func (e *endRecorder) closed(_ time.Duration, reset bool) { e.closedByReset = reset }
 
-// connOf is a connection of which only the socket behind it is known.
-type connOf struct {
+// contextConn is a connection of which only the context is used.
+type contextConn struct {
 	gnet.Conn
-	behind any
+	context any
 }
 
-func (c connOf) Context() any { return c.behind }
+func (c contextConn) Context() any { return c.context }
 
-// Whatever error a connection breaks with, it is a reset; its orderly end, and ours, are none.
-func TestABrokenConnectionIsAReset(t *testing.T) {
+// Any error of a connection counts as a reset; an orderly close by either side does not.
+func TestBrokenConnectionIsReset(t *testing.T) {
 	cases := map[error]bool{nil: false, io.EOF: false, os.NewSyscallError("read", io.EOF): false}
 	for _, cause := range []syscall.Errno{syscall.ECONNRESET, syscall.EPIPE, syscall.ETIMEDOUT, syscall.EHOSTUNREACH, syscall.ENETUNREACH} {
 		cases[os.NewSyscallError("read", cause)] = true
 		cases[os.NewSyscallError("write", cause)] = true
 	}
 	for cause, reset := range cases {
-		e := &endOf{detached: !reset, closedSo: !reset}
-		(&Node{}).OnClose(connOf{behind: e}, cause)
-		assert.Equal(t, [2]bool{reset, reset}, [2]bool{e.detached, e.closedSo}, cause)
+		e := &endRecorder{detached: !reset, closedByReset: !reset}
+		(&Node{}).OnClose(contextConn{context: e}, cause)
+		assert.Equal(t, [2]bool{reset, reset}, [2]bool{e.detached, e.closedByReset}, cause)
 	}
 }
 
-// A desk host's machine falls silent, and the system gives the connection up by ETIMEDOUT: the client's side ends by a reset, in kind.
-func TestAStandingConnectionTimesOut(t *testing.T) {
+// The machine of a desk host falls silent, and the kernel gives up the connection with ETIMEDOUT: the client's side is
+// reset as well.
+func TestEstablishedConnectionTimesOut(t *testing.T) {
 	r := newRig(t)
 	r.steps("a connect", "a send OPEN 1 a c=lookup,d=4000", "d accept", "d expect OPEN *", "d send UP r1", "a expect UP r1")
 	done := make(chan struct{})
@@ -56,12 +57,12 @@
 		}
 	})
 	<-done
-	deafen(t, r.peers["d"])
+	dropIncoming(t, r.peers["d"])
 	r.steps("a send hello", "a wait reset", "wait count standing connections ended by desk hosts 1", "wait count connections ended: reset 1")
 }
 
-// deafen has a peer's machine take no packet of its connection any more.
-func deafen(t *testing.T, p *peer) {
+// dropIncoming drops all packets that arrive for a peer's connection.
+func dropIncoming(t *testing.T, p *peer) {
 	raw, err := p.SyscallConn()
 	require.NoError(t, err)
 	nothing := []unix.SockFilter{{Code: unix.BPF_RET | unix.BPF_K, K: 0}}
--- a/internal/net/scenario_test.go
+++ b/internal/net/scenario_test.go
@@ -17,59 +17,62 @@
 	"tealtiller/internal/settings"
 )
 
-// A scenario is a file of lines that drive a real node against scripted peers, one step a line:
+// A scenario is a file of steps, one a line, that drive a real node against scripted peers:
 //
-//	set KEY=VALUE           settings before the node starts: hosts, dead, siblings, aim, mode, probing, discovery, sockets, silence, patience, admin, stale, grace, listwait;
-//	                        connect, effect, scope, window (of repeats), deadline, binds, tries, class, cells (the operator's file, ; for new lines) and plan (plan.json), which the next reload brings in
+//	set KEY=VALUE           sets a value before the node starts: hosts, dead, siblings, aim, mode, probing, discovery, sockets,
+//	                        silence, patience, admin, stale, grace, listwait, connect, effect, scope, window (of repeats),
+//	                        deadline, binds, tries, class, cells (the operator's file, with ; for line breaks) and plan
+//	                        (plan.json); a later change takes effect with the next reload
 //	NAME connect            a client connects to the node
-//	NAME call PATH          an operator asks the node's second address; without a path it only connects
-//	NAME accept             takes the next connection that reached a desk host or, for names that begin with pool, discovery
-//	NAME send TEXT          sends a line; \r\n in it splits it, ... at its end leaves it open
+//	NAME call PATH          an operator sends a request to the second address; without a path it only connects
+//	NAME accept             takes the next connection to a desk host or, for names that begin with pool, to discovery
+//	NAME send TEXT          sends a line; \r\n in it splits it, ... at its end leaves it incomplete
 //	NAME expect PATTERN     reads a line; * stands for anything
-//	NAME wait text|none T   waits until the other side has ended, having sent this text, or anything but
-//	NAME wait fin|reset     waits until the other side has ended the connection, reading what is left
-//	NAME close|half|reset   ends the connection, its sending, or by a reset
-//	NAME answer BODY        sends an HTTP answer; KNOWN stands for the list in the configuration
+//	NAME wait text|none T   waits until the other side has closed, having sent this text, or not having sent it
+//	NAME wait fin|reset     waits until the other side has closed or reset the connection, and reads what is left
+//	NAME close|half|reset   closes the connection, ends its sending, or resets it
+//	NAME answer BODY        sends an HTTP response; KNOWN stands for the list in the configuration
 //	beside                  starts a second node beside the first, at the same address
-//	kill                    ends the second one as if killed, and goes on with the first
-//	before STEP             a step of the first node, once there is a second: stop, wait exit, wait count
+//	kill                    ends the second node as a kill would, and continues with the first
+//	before STEP             runs a step of the first node while there are two: stop, wait exit, wait count, reload
 //	stop                    tells the node to drain
-//	hold                    connections that the node makes from now on do not come up
-//	let                     they do
+//	hold                    keeps connections that the node dials from being established
+//	let                     lets them be established
 //	pause                   stops the event loop between two turns
-//	resume [T...]           goes on with it, where told so long after the pause: what has come meanwhile, and deadlines that
-//	                        have fallen due, cross in one turn; each further T is one more pause, before anything is read
+//	resume [T...]           continues the loop, no sooner than T after the pause: whatever arrived meanwhile and deadlines
+//	                        that are due meet in one turn; each further T is another pause before sockets are read
 //	reload move             replaces the configuration by one that names another discovery, and reloads it
-//	reload same             the same, with discovery where it is
-//	reload TEXT             the same with a file of this text
+//	reload same             reloads the configuration with discovery unchanged
+//	reload TEXT             reloads with this text as the configuration
 //	wait exit               waits until the node has ended
 //	wait left N             waits until the node may open N more descriptors
 //	wait count NAME N       waits until a counter of the node is N, or with N+ at least N
 //
-// Every read has a limit, so a step that never comes fails; no step sleeps.
-const limit = 20 * time.Second
+// Every read has a time limit, so a step that never completes fails; no step sleeps.
+const stepTimeout = 20 * time.Second
 
+// rig runs the steps of a scenario or test on a node.
 type rig struct {
-	t         *testing.T
-	set       map[string]string
-	node      *Node
-	peers     map[string]*peer
-	upstreams chan stdnet.Conn
-	pools     chan stdnet.Conn
-	exited    chan error
-	before    *rig // of the first node, where there are two
-	folder    string
-	started   bool
-	source    *settings.Source
-	path      string
-	address   string // of the node; its configuration belongs to its loop
-	admin     string // its second address, for which it must be set
-	known     string
-	pool      string // the address of discovery that the file names
-	paused    chan time.Duration
-	held      atomic.Pointer[chan struct{}] // closed to let connections come up
-	log       logged
-	fail      func() error // how a connection to a desk host fails; set before the start
+	t              *testing.T
+	settings       map[string]string
+	node           *Node
+	peers          map[string]*peer
+	upstreams      chan stdnet.Conn
+	discoveryConns chan stdnet.Conn
+	exited         chan error
+	before         *rig // of the first node while there are two
+	folder         string
+	started        bool
+	source         *settings.Source
+	path           string // of the configuration file
+	address        string // of the node
+	admin          string // second address of the node, if settings turn it on
+	known          string // host list in the configuration
+	discoveryAddr  string // discovery address in the configuration file
+	paused         chan time.Duration
+	dialGate       atomic.Pointer[chan struct{}] // closed to let connections be established
+	log            logBuffer
+	dialError      func() error // error of a dial to a desk host, or nil; set before the start
 }
 
 func TestScenarios(t *testing.T) {
@@ -95,7 +98,7 @@
 	verb, text, _ := strings.Cut(rest, " ")
 	if who == "set" {
 		key, value, _ := strings.Cut(rest, "=")
-		r.set[key] = value
+		r.settings[key] = value
 		return nil
 	}
 	if !r.started {
@@ -105,16 +108,16 @@
 	case who == "before":
 		return r.before.step(rest)
 	case who == "beside":
-		r.before = &rig{t: r.t, set: r.set, node: r.node, peers: r.peers, upstreams: r.upstreams, pools: r.pools, exited: r.exited,
-			folder: r.folder, started: true, source: r.source, path: r.path, address: r.address, admin: r.admin, known: r.known, pool: r.pool}
+		r.before = &rig{t: r.t, settings: r.settings, node: r.node, peers: r.peers, upstreams: r.upstreams, discoveryConns: r.discoveryConns, exited: r.exited,
+			folder: r.folder, started: true, source: r.source, path: r.path, address: r.address, admin: r.admin, known: r.known, discoveryAddr: r.discoveryAddr}
 		r.launch()
 		return nil
 	case who == "kill":
 		r.node.post(func(time.Duration) {
-			r.node.stopping = true // it awaits nobody
+			r.node.draining = true // no successor is awaited
 			_ = r.node.link.conn.Close()
 		})
-		ctx, cancel := context.WithTimeout(context.Background(), limit)
+		ctx, cancel := context.WithTimeout(context.Background(), stepTimeout)
 		defer cancel()
 		if err := r.node.engine.Stop(ctx); err != nil {
 			return err
@@ -126,10 +129,10 @@
 		return nil
 	case who == "hold":
 		gate := make(chan struct{})
-		r.held.Store(&gate)
+		r.dialGate.Store(&gate)
 		return nil
 	case who == "let":
-		close(*r.held.Swap(nil))
+		close(*r.dialGate.Swap(nil))
 		return nil
 	case who == "pause":
 		return r.pause()
@@ -138,7 +141,7 @@
 	case who == "reload":
 		switch rest {
 		case "move":
-			r.pool = r.listen(r.pools)
+			r.discoveryAddr = r.listen(r.discoveryConns)
 			rest = r.config()
 		case "same":
 			rest = r.config()
@@ -149,12 +152,12 @@
 		r.node.Reload(r.load)
 		return nil
 	case who == "wait" && verb == "exit":
-		return r.within(func() error { return <-r.exited })
+		return r.withTimeout(func() error { return <-r.exited })
 	case who == "wait" && verb == "left":
-		return r.ask(text, func() int64 { return int64(r.node.left()) })
+		return r.waitForValue(text, func() int64 { return int64(r.node.descriptorsLeft()) })
 	case who == "wait":
 		i := strings.LastIndex(text, " ")
-		return r.ask(text[i+1:], func() int64 { return r.node.count[text[:i]] })
+		return r.waitForValue(text[i+1:], func() int64 { return r.node.counters[text[:i]] })
 	}
 	return r.peer(who, verb, text)
 }
@@ -165,19 +168,19 @@
 	r.paused = on
 	r.node.post(func(now time.Duration) {
 		close(stopped)
-		r.late(now + <-on)
+		r.stallUntil(now + <-on)
 	})
-	return r.within(func() error { <-stopped; return nil })
+	return r.withTimeout(func() error { <-stopped; return nil })
 }
 
-// late keeps the loop until a moment: the lateness that a step asks for.
-func (r *rig) late(until time.Duration) {
+// stallUntil keeps the loop busy until the given time.
+func (r *rig) stallUntil(until time.Duration) {
 	for now := r.node.now(); now < until; now = r.node.now() {
 		time.Sleep(until - now)
 	}
 }
 
-// resume returns once the pauses are over, and deadlines that were due have run.
+// resume returns once all pauses are over and the deadlines that were due have run.
 func (r *rig) resume(spans []string) error {
 	var times []time.Duration
 	for _, text := range spans {
@@ -187,8 +190,8 @@
 		}
 		times = append(times, span)
 	}
-	for _, span := range times[1:] { // what is posted runs before the next look at the sockets
-		r.node.post(func(now time.Duration) { r.late(now + span) })
+	for _, span := range times[1:] { // posted events run before sockets are read again
+		r.node.post(func(now time.Duration) { r.stallUntil(now + span) })
 	}
 	over := make(chan struct{})
 	r.node.post(func(time.Duration) { close(over) })
@@ -197,16 +200,17 @@
 	return nil
 }
 
-// ask asks the loop again and again: each question is answered after all events before it.
-func (r *rig) ask(figure string, what func() int64) error {
-	want, err := strconv.ParseInt(strings.TrimSuffix(figure, "+"), 10, 64)
+// waitForValue polls a value on the loop until it has the wanted value, or with a + at least that. Each read follows
+// all events posted before.
+func (r *rig) waitForValue(want string, value func() int64) error {
+	number, err := strconv.ParseInt(strings.TrimSuffix(want, "+"), 10, 64)
 	if err != nil {
 		return err
 	}
-	return r.within(func() error {
-		for got := int64(-1); got < want || got > want && !strings.HasSuffix(figure, "+"); {
+	return r.withTimeout(func() error {
+		for got := int64(-1); got < number || got > number && !strings.HasSuffix(want, "+"); {
 			answer := make(chan int64)
-			r.node.post(func(time.Duration) { answer <- what() })
+			r.node.post(func(time.Duration) { answer <- value() })
 			got = <-answer
 		}
 		return nil
--- a/internal/net/trace_test.go
+++ b/internal/net/trace_test.go
@@ -11,7 +11,7 @@
 	"tealtiller/internal/line"
 )
 
-// tracingNode logs at the debug level, each line without its time.
+// tracingNode logs at the debug level, without timestamps.
 func tracingNode(out *bytes.Buffer, groups bool) *Node {
 	withoutTime := func(_ []string, a slog.Attr) slog.Attr {
 		if a.Key == slog.TimeKey {
@@ -31,9 +31,9 @@
 	return o
 }
 
-// Who counts the pieces of a group over a fleet needs its key and the desk host in one line. Danger: the key that the
-// client sent first is not the one by which it is placed, where groups are on.
-func TestStepsAreTracedWithTheirGroup(t *testing.T) {
+// To count the hosts of a group over a fleet, the group's key and the desk host must be on one line. With groups
+// turned on, the key sent by the client is not the one used for placement.
+func TestAttemptsAreTracedWithGroupKey(t *testing.T) {
 	for groups, key := range map[bool]string{true: "16", false: "23567"} {
 		var out bytes.Buffer
 		u := &upstream{node: tracingNode(&out, groups), server: "b"}
@@ -43,14 +43,14 @@
 	}
 }
 
-func TestRefusalsAreTracedWithTheirReason(t *testing.T) {
+func TestRefusalsAreTracedWithReason(t *testing.T) {
 	var out bytes.Buffer
 	d := &downstream{node: tracingNode(&out, true), opening: opening(t)}
-	d.traceRefusal(noDescriptors, shortage)
+	d.traceRefusal(noDescriptors, descriptorRetryAfter)
 	assert.Equal(t, "level=DEBUG msg=refused id=me-1 key=16 class=lookup reason=\"no descriptors\" back=500ms returned=false mid=false\n",
 		out.String())
 	out.Reset()
 	d.node.tracing = false
-	d.traceRefusal(noDescriptors, shortage)
+	d.traceRefusal(noDescriptors, descriptorRetryAfter)
 	assert.Empty(t, out.String(), "without the debug level")
 }
--- a/internal/net/upstream.go
+++ b/internal/net/upstream.go
@@ -13,67 +13,68 @@
 	"tealtiller/policy"
 )
 
-// upstream is the socket of one attempt, and of the connection that it brought up.
+// upstream is the socket of one attempt, and of the connection that the attempt establishes.
 type upstream struct {
-	node       *Node
-	id         slot.ID
-	downstream *downstream
-	server     string
-	until      time.Duration
-	cancel     context.CancelFunc // of the dialling
+	node            *Node
+	id              slot.ID
+	downstream      *downstream
+	server          string
+	attemptDeadline time.Duration
+	cancel          context.CancelFunc // cancels the dial
 	inbound
-	sent    bool // the first line is written
-	up      bool
-	upAt    time.Duration
-	over    bool          // its outcome is told
-	last    policy.Result // what its end will mean
-	askedAt time.Duration // when the client's first line that is still unanswered went on
-	byteAt  time.Duration // when the last bytes came
-	silent  *deadline.Deadline
+	sent            bool // the OPEN line was written
+	up              bool
+	upAt            time.Duration
+	ended           bool          // the outcome was reported
+	endResult       policy.Result // outcome if the connection ends now
+	unansweredSince time.Duration // when the oldest unanswered client line was forwarded; 0 if none
+	lastReadAt      time.Duration // when data last arrived
+	answerCheck     *deadline.Deadline
 }
 
-// opened sends the first line as it came, but for how long we wait.
+// opened forwards the OPEN line, with the time left for this attempt as its deadline.
 func (u *upstream) opened(now time.Duration, c gnet.Conn) gnet.Action {
 	u.cancel()
 	u.conn = c
-	if u.over {
+	if u.ended {
 		return gnet.Close
 	}
-	if u.up { // it stood in another process
+	if u.up { // inherited from another process
 		u.traffic(now)
 		u.downstream.traffic(now)
 		return gnet.None
 	}
 	if result, ok := u.writable(now); !ok {
-		u.traceAttempt("attempt-not-written", "result", request.ResultNames[result], "unheard", u.node.watch.unheard(now))
-		u.conn = nil // gnet closes it after this
+		u.traceAttempt("attempt-not-written", "result", request.ResultNames[result], "unheard", u.node.watch.sinceAnswer(now))
+		u.conn = nil // gnet closes it when opened returns
 		u.close(now, false, result)
 		return gnet.Close
 	}
 	u.sent = true
-	u.traceAttempt("attempt-sent", "revision", u.node.watch.status.revision, "unheard", u.node.watch.unheard(now))
-	u.node.write(c, u.downstream.opening.Forward(u.until-now)) // whole: a line fits a new connection's buffer
+	u.traceAttempt("attempt-sent", "revision", u.node.watch.status.revision, "unheard", u.node.watch.sinceAnswer(now))
+	// Written completely: a line fits the buffer of a new connection.
+	u.node.write(c, u.downstream.opening.Forward(u.attemptDeadline-now))
 	if u.conn != nil {
-		u.node.count.Add("attempts written")
+		u.node.counters.Add("attempts written")
 	}
 	return gnet.None
 }
 
-// writable is asked just before the first line is written, as the connection took its time to come up; else it tells what
-// came of the attempt.
+// writable is called just before the OPEN line is written, since the dial took time. If the line must not be written
+// any more, it returns the result of the attempt.
 func (u *upstream) writable(now time.Duration) (result policy.Result, ok bool) {
-	return u.node.table.MayWrite(now, u.downstream.request, u.until, u.downstream.hungUp)
+	return u.node.table.MayWrite(now, u.downstream.request, u.attemptDeadline, u.downstream.peerClosed)
 }
 
-// traffic reads what the desk host answers, and passes on whole lines once the connection stands.
+// traffic reads the desk host's answer, and forwards complete lines once the connection is established.
 func (u *upstream) traffic(now time.Duration) {
-	u.byteAt = now
-	u.node.delays.of(u.server).heardAt = now
-	for u.buffered() > 0 && !u.over {
+	u.lastReadAt = now
+	u.node.delays.host(u.server).lastReadAt = now
+	for u.buffered() > 0 && !u.ended {
 		buf := u.peek()
 		text, err := line.Next(buf)
 		if err != nil {
-			u.node.count.Add("desk hosts cut off: line too long")
+			u.node.counters.Add("desk hosts cut off: line too long")
 			u.close(now, true, policy.Reset)
 			return
 		}
@@ -84,23 +85,23 @@
 			u.relay(now, buf)
 			return
 		}
-		u.answered(now, text)
-		if !u.over {
+		u.handleAnswer(now, text)
+		if !u.ended {
 			u.discard(len(text))
 		}
 	}
 }
 
-// answered takes the answer to the first line.
-func (u *upstream) answered(now time.Duration, text []byte) {
+// handleAnswer handles the answer to OPEN.
+func (u *upstream) handleAnswer(now time.Duration, text []byte) {
 	kind, _ := line.Parse(text)
 	switch kind {
 	case line.Up:
 		u.up, u.upAt = true, now
-		u.node.delays.of(u.server).fresh = true
-		u.node.count.Add("operations served")
+		u.node.delays.host(u.server).newConnections = true
+		u.node.counters.Add("operations served")
 		u.traceAttempt("attempt-up", "returned", u.downstream.opening.Returned, "mid", u.downstream.opening.MidFlow)
-		u.node.zoneSaw(now, u.server, true)
+		u.node.recordZoneOutcome(now, u.server, true)
 		u.node.write(u.downstream.conn, text)
 		u.node.table.Established(now, u.downstream.request)
 		u.downstream.traffic(now)
@@ -113,75 +114,76 @@
 	}
 }
 
-// move sends the client of a standing connection away.
-func (u *upstream) move(now time.Duration) {
-	u.downstream.move(now)
+// moveClient moves the client of an established connection to another host.
+func (u *upstream) moveClient(now time.Duration) {
+	u.downstream.sendMove(now)
 	u.close(now, false, policy.Cancelled)
 }
 
-// move says MOVE to the client. Only whole lines are ever passed on, so it stands between two.
-func (d *downstream) move(now time.Duration) {
-	d.node.count.Add("clients moved")
-	d.answer(now, "MOVE\r\n")
+// sendMove writes MOVE to the client. Only complete lines are ever forwarded, so it cannot split one.
+func (d *downstream) sendMove(now time.Duration) {
+	d.node.counters.Add("clients moved")
+	d.sendLastLine(now, "MOVE\r\n")
 }
 
-// drop ends the socket without telling any outcome.
-func (u *upstream) drop(reset bool) {
-	u.over = true
+// abort closes the socket without reporting an outcome.
+func (u *upstream) abort(reset bool) {
+	u.ended = true
 	u.cancel()
-	u.node.deadlines.Stop(u.silent)
+	u.node.deadlines.Stop(u.answerCheck)
 	u.node.upstreams.Remove(u.id)
 	if u.downstream.upstream == u {
 		u.downstream.upstream = nil
-		u.downstream.half.close(reset)
+		u.downstream.halfClosed.close(reset)
 	}
-	u.node.end(u.conn, reset)
+	u.node.closeConn(u.conn, reset)
 }
 
-// close ends the socket and tells the outcome.
+// close closes the socket and reports the outcome.
 func (u *upstream) close(now time.Duration, reset bool, result policy.Result) {
-	if !u.over {
+	if !u.ended {
 		u.traceAttempt("attempt-ended", "stood", u.up, "result", request.ResultNames[result], "after", now-u.upAt)
 		if !u.up && (result == policy.Timeout || result == policy.ConnectFailed || result == policy.Reset || result == policy.Error) {
-			u.node.zoneSaw(now, u.server, false) // a full host that says BUSY is no sign of a broken zone
+			// BUSY is excluded: a full host is no sign of a zone failure.
+			u.node.recordZoneOutcome(now, u.server, false)
 		}
-		u.drop(reset)
+		u.abort(reset)
 		u.node.table.AttemptEnded(now, u.downstream.request, result)
 	}
 }
 
 func (u *upstream) detach(bool) {
-	if u.over {
+	if u.ended {
 		u.conn = nil
 		return
 	}
-	u.end()
+	u.detachConn()
 }
 
-// closed takes the end of the connection, or that it never came up.
+// closed handles the end of the connection, or a failed dial.
 func (u *upstream) closed(now time.Duration, reset bool) {
-	if !u.over && u.buffered() > 0 { // its last lines, if a write failed before they were read
+	if !u.ended && u.buffered() > 0 { // last lines that a failed write kept from being read
 		u.traffic(now)
 	}
-	if u.over {
+	if u.ended {
 		return
 	}
-	result := u.last
+	result := u.endResult
 	if !u.sent {
 		result = policy.ConnectFailed
 	}
-	if u.up { // the client's side ends in the same way
-		u.downstream.half.close(reset)
-		u.node.count.Add("standing connections ended by desk hosts")
+	if u.up { // close the client side in the same way
+		u.downstream.halfClosed.close(reset)
+		u.node.counters.Add("standing connections ended by desk hosts")
 		if reset {
-			u.downstream.ending = true
-			u.node.end(u.downstream.conn, true)
+			u.downstream.closing = true
+			u.node.closeConn(u.downstream.conn, true)
 		} else {
-			u.downstream.finish(now)
+			u.downstream.closeSending(now)
 		}
 	}
 	u.close(now, false, result)
 	if u.up && reset {
-		u.node.delays.shed(u.node, now, u.server)
+		u.node.delays.connectionDropped(u.node, now, u.server)
 	}
 }
--- a/internal/net/wallclock.go
+++ b/internal/net/wallclock.go
@@ -8,58 +8,59 @@
 	"tealtiller/policy"
 )
 
-// wall is what is known of the wall clock. All that the node waits for is told by its own clock, which no step of the wall
-// clock moves; but the list of desk hosts tells their starts by the wall clock, and so do records.
-type wall struct {
+// wallClockState tracks the wall clock. Deadlines use the node's monotonic clock, which steps of the wall clock do not
+// move; but the host list contains start times by the wall clock, and so do records.
+type wallClockState struct {
 	clock  *wallclock.Clock
 	starts *wallclock.StartTimes
-	ahead  func() time.Duration // of the node's clock, by steps since the process started
+	offset func() time.Duration // of the wall clock from the node's clock, due to steps since the process start
 }
 
-func newWall(origin time.Time) wall {
+func newWallClockState(origin time.Time) wallClockState {
 	clock := wallclock.New(time.Duration(origin.UnixNano()))
-	return wall{clock: clock, starts: wallclock.NewStartTimes(clock), ahead: func() time.Duration { return aheadOf(origin) }}
+	return wallClockState{clock: clock, starts: wallclock.NewStartTimes(clock),
+		offset: func() time.Duration { return wallClockOffset(origin) }}
 }
 
-// aheadOf takes both clocks from one reading: between two the process may be held up.
-func aheadOf(origin time.Time) time.Duration {
+// wallClockOffset takes both clocks from a single reading, since the process may stall between two readings.
+func wallClockOffset(origin time.Time) time.Duration {
 	reading := time.Now()
 	return time.Duration(reading.UnixNano()-origin.UnixNano()) - reading.Sub(origin)
 }
 
-// lookAtWallClock notices a step.
-func (n *Node) lookAtWallClock(now time.Duration) {
-	if step := n.wall.clock.Observe(now, n.wall.ahead()); step != 0 {
-		n.count.Add("wall clock steps")
+// checkWallClock detects steps of the wall clock.
+func (n *Node) checkWallClock(now time.Duration) {
+	if step := n.wallClock.clock.Observe(now, n.wallClock.offset()); step != 0 {
+		n.counters.Add("wall clock steps")
 		n.log.Warn("wall-clock-stepped", "by", step)
 	}
 }
 
-// servers is the list that discovery tells, with the starts of its hosts by the node's clock. Danger: by the wall clock's
-// reading a host that starts after a step back would be taken to be warm, and one after a step forward to be cold until
-// the wall clock's old reading is reached.
-func (n *Node) servers(now time.Duration, kind policy.MembersKind, list *discovery.List) []policy.Server {
-	n.lookAtWallClock(now)
+// serversOnNodeClock converts the start times of a list to the node's clock. By the wall clock, a host that starts
+// after a backward step would be taken for warm, and one that starts after a forward step for cold until the wall
+// clock reaches its old reading.
+func (n *Node) serversOnNodeClock(now time.Duration, kind policy.MembersKind, list *discovery.List) []policy.Server {
+	n.checkWallClock(now)
 	servers := list.Servers()
 	listed := make(map[string]bool, len(servers))
 	for i, s := range servers {
 		if s.State == policy.Gone {
-			n.wall.starts.Forget(s.ID)
+			n.wallClock.starts.Forget(s.ID)
 			continue
 		}
 		listed[s.ID] = true
-		servers[i].Started = n.wall.starts.At(now, s.ID, s.Started)
+		servers[i].Started = n.wallClock.starts.At(now, s.ID, s.Started)
 	}
 	if kind != policy.Delta {
-		n.wall.starts.RetainOnly(func(host string) bool { return listed[host] })
+		n.wallClock.starts.RetainOnly(func(host string) bool { return listed[host] })
 	}
 	return servers
 }
 
-// wallMilliseconds is a moment of the node's clock as the wall clock tells it, for what others read; 0 stays 0.
+// wallMilliseconds converts a time of the node's clock to the wall clock, for external use; 0 remains 0.
 func (n *Node) wallMilliseconds(moment time.Duration) int64 {
 	if moment <= 0 {
 		return 0
 	}
-	return n.wall.clock.WallTime(moment).Milliseconds()
+	return n.wallClock.clock.WallTime(moment).Milliseconds()
 }
--- a/internal/net/watch.go
+++ b/internal/net/watch.go
@@ -10,14 +10,14 @@
 	"tealtiller/policy"
 )
 
-// watch is the socket side of the watch on the host list. When discovery is called, and what follows a failure, is the
-// watcher's to say.
+// watch is the socket side of the watch on the host list. The discovery.Watcher decides when discovery is called and
+// what follows a failure.
 type watch struct {
 	node    *Node
 	watcher *discovery.Watcher
-	links   map[int]*discoveryLink // the connections in use, by number; one that was dropped is left to itself
+	conns   map[int]*discoveryConn // connections in use, by number; dropped ones are removed
 	status  listStatus
-	leased  bool // a lease on the list has begun since the start
+	leased  bool // a lease on the list has been granted since the start
 }
 
 var (
@@ -25,95 +25,95 @@
 	_ discovery.Observer  = (*watch)(nil)
 )
 
-// newWatch makes the watch of a node; it is off.
+// newWatch returns the watch of a node, turned off.
 func newWatch(n *Node, address string) *watch {
-	w := &watch{node: n, links: map[int]*discoveryLink{}}
+	w := &watch{node: n, conns: map[int]*discoveryConn{}}
 	w.watcher = discovery.NewWatcher(address, w, w, &n.deadlines)
 	return w
 }
 
-// configure takes the settings in force.
+// configure applies settings.
 func (w *watch) configure(set policy.Settings) { w.watcher.Configure(!set.MustWatch, set.DrainGrace) }
 
-// Dial makes a connection to discovery.
+// Dial opens a connection to discovery.
 func (w *watch) Dial(_ time.Duration, connection int, address string, limit time.Duration) {
 	ctx, cancel := context.WithTimeout(context.Background(), limit)
-	link := &discoveryLink{watch: w, number: connection, cancel: cancel}
-	w.links[connection] = link
-	w.node.dial(ctx, link, address)
+	conn := &discoveryConn{watch: w, number: connection, cancel: cancel}
+	w.conns[connection] = conn
+	w.node.dial(ctx, conn, address)
 }
 
-// Send writes a call.
-func (w *watch) Send(connection int, request []byte) { w.node.write(w.links[connection].conn, request) }
+// Send writes a call on an open connection.
+func (w *watch) Send(connection int, request []byte) { w.node.write(w.conns[connection].conn, request) }
 
-// Drop leaves a connection.
+// Drop closes a connection that is no longer needed.
 func (w *watch) Drop(connection int) {
-	link := w.links[connection]
-	delete(w.links, connection)
-	link.cancel()
-	w.node.end(link.conn, false)
+	conn := w.conns[connection]
+	delete(w.conns, connection)
+	conn.cancel()
+	w.node.closeConn(conn.conn, false)
 }
 
-// WatchStopped tells the module, which asks again when it sees fit.
+// WatchStopped notifies the module, which turns the watch on again when it needs it.
 func (w *watch) WatchStopped(now time.Duration) {
 	w.node.table.UpdateMembers(now, policy.WatchFailed, nil)
 }
 
-// LeaseChanged tells the module until when the list may be used.
+// LeaseChanged notifies the module until when the list may be used.
 func (w *watch) LeaseChanged(now, until time.Duration) {
 	w.leased = true
 	w.node.table.SetLease(now, until)
 }
 
-// ListReceived takes what discovery has told.
+// ListReceived applies an answer of discovery.
 func (w *watch) ListReceived(now time.Duration, list *discovery.List) {
 	w.noteAnswer(now, list)
 	kind := policy.Delta
 	if list.Complete {
 		kind = policy.Full
 	}
-	w.node.members(now, kind, list)
+	w.node.updateMembers(now, kind, list)
 }
 
-// discoveryLink is the socket of one connection to discovery.
-type discoveryLink struct {
+// discoveryConn is the socket of one connection to discovery.
+type discoveryConn struct {
 	watch  *watch
 	number int
 	conn   gnet.Conn
 	cancel context.CancelFunc
 }
 
-func (l *discoveryLink) inUse() bool { return l.watch.links[l.number] == l }
+func (c *discoveryConn) inUse() bool { return c.watch.conns[c.number] == c }
 
-func (l *discoveryLink) opened(now time.Duration, conn gnet.Conn) gnet.Action {
-	l.cancel()
-	l.conn = conn
-	if !l.inUse() {
+func (c *discoveryConn) opened(now time.Duration, conn gnet.Conn) gnet.Action {
+	c.cancel()
+	c.conn = conn
+	if !c.inUse() {
 		return gnet.Close
 	}
-	l.watch.watcher.Connected(now, l.number)
+	c.watch.watcher.Connected(now, c.number)
 	return gnet.None
 }
 
-func (l *discoveryLink) traffic(now time.Duration) {
-	if l.conn == nil || !l.inUse() {
+func (c *discoveryConn) traffic(now time.Duration) {
+	if c.conn == nil || !c.inUse() {
 		return
 	}
-	data, _ := l.conn.Peek(-1)
+	data, _ := c.conn.Peek(-1)
 	if len(data) == 0 {
 		return
 	}
-	l.watch.watcher.Received(now, l.number, data)
-	if l.conn != nil {
-		_, _ = l.conn.Discard(-1)
+	c.watch.watcher.Received(now, c.number, data)
+	if c.conn != nil {
+		_, _ = c.conn.Discard(-1)
 	}
 }
 
-func (l *discoveryLink) detach(bool) { l.conn = nil }
+func (c *discoveryConn) detach(bool) { c.conn = nil }
 
-func (l *discoveryLink) closed(now time.Duration, _ bool) {
-	l.cancel()
-	if l.inUse() {
-		l.watch.watcher.Closed(now, l.number)
+func (c *discoveryConn) closed(now time.Duration, _ bool) {
+	c.cancel()
+	if c.inUse() {
+		c.watch.watcher.Closed(now, c.number)
 	}
 }
--- a/internal/net/watchlog.go
+++ b/internal/net/watchlog.go
@@ -9,35 +9,37 @@
 	"tealtiller/policy"
 )
 
-// This file is what the log and the figures tell of the host list: its calls, its age, and the changes of hosts.
+// This file holds the log events and metrics of the host list: the calls to discovery, the age of the list, and
+// changes of hosts.
 
-// listStatus is what is known of the host list, for the log and the figures.
+// listStatus is what is known of the host list for the log and the metrics.
 type listStatus struct {
-	revision int64
-	heardAt  time.Duration           // when discovery last answered; 0 before the first answer
-	stale    bool                    // the log has told that the list is stale
-	phases   map[string]policy.State // by host, as listed
+	revision    int64
+	answeredAt  time.Duration           // when discovery last answered; 0 before the first answer
+	staleLogged bool                    // the log has reported that the list is stale
+	phases      map[string]policy.State // by host ID, as listed
 }
 
-// listStaleAfter is how long discovery may stay unheard, from its last answer to a failed call, until the log tells so. A call
-// that waits for news lasts longer without any trouble; it ends in an answer.
+// listStaleAfter is how long after its last answer a failed call to discovery is logged as a stale list. Long polls
+// may last longer without any failure, since they end in an answer.
 const listStaleAfter = 4 * time.Second
 
-// CallStarted counts a call and traces it.
+// CallStarted counts and traces a call.
 func (w *watch) CallStarted(call discovery.CallStart) {
-	w.node.count.Add("discovery calls")
+	w.node.counters.Add("discovery calls")
 	w.node.trace("discovery-call", "connection", call.Connection, "address", call.Address, "since", call.Since,
 		"wait", call.Wait, "limit", call.Timeout)
 }
 
-// CallResent counts a call that is made again.
+// CallResent counts a call that is sent again because its connection ended as it was sent.
 func (w *watch) CallResent() {
-	w.node.count.Add("discovery calls crossed by the end of their connection")
+	w.node.counters.Add("discovery calls crossed by the end of their connection")
 }
 
-// CallFailed counts a call that failed and logs it: a notable one for the operator, each for who traces.
+// CallFailed counts a failed call and logs it: at the warning level if operators need to know, else at the debug
+// level.
 func (w *watch) CallFailed(now time.Duration, failure discovery.CallFailure) {
-	w.node.count.Add("discovery calls failed")
+	w.node.counters.Add("discovery calls failed")
 	level := slog.LevelDebug
 	if failure.ShouldLog {
 		level = slog.LevelWarn
@@ -47,28 +49,29 @@
 	w.noteStale(now, failure)
 }
 
-// noteStale logs, once until the next answer, that the list may be out of date.
+// noteStale logs once per outage that the list may be out of date.
 func (w *watch) noteStale(now time.Duration, failure discovery.CallFailure) {
-	if w.status.stale || w.unheard(now) < listStaleAfter {
+	if w.status.staleLogged || w.sinceAnswer(now) < listStaleAfter {
 		return
 	}
-	w.status.stale = true
-	w.node.log.Warn("list-stale", "revision", w.status.revision, "unheard", w.unheard(now), "failed", failure.Consecutive, "address", failure.Address)
+	w.status.staleLogged = true
+	w.node.log.Warn("list-stale", "revision", w.status.revision, "unheard", w.sinceAnswer(now),
+		"failed", failure.Consecutive, "address", failure.Address)
 }
 
-// noteAnswer counts an answer and logs what it changes.
+// noteAnswer counts an answer and logs the changes in it.
 func (w *watch) noteAnswer(now time.Duration, list *discovery.List) {
 	n, s := w.node, &w.status
-	n.count.Add("discovery answers")
+	n.counters.Add("discovery answers")
 	n.trace("discovery-answer", "revision", list.Revision, "complete", list.Complete, "members", len(list.Members))
-	if s.stale {
-		n.log.Info("list-current", "revision", list.Revision, "unheard", w.unheard(now))
+	if s.staleLogged {
+		n.log.Info("list-current", "revision", list.Revision, "unheard", w.sinceAnswer(now))
 	}
-	s.revision, s.heardAt, s.stale = list.Revision, now, false
+	s.revision, s.answeredAt, s.staleLogged = list.Revision, now, false
 	s.notePhases(n, list)
 }
 
-// notePhases logs each host whose phase an answer changes.
+// notePhases logs each host whose phase has changed.
 func (s *listStatus) notePhases(n *Node, list *discovery.List) {
 	for _, m := range list.Members {
 		if before := s.phases[m.ID]; before != m.State {
@@ -78,24 +81,24 @@
 	if list.Complete {
 		s.noteMissing(n, list)
 	}
-	s.take(list)
+	s.setPhases(list)
 }
 
-// noteMissing logs the hosts that a whole list leaves out.
+// noteMissing logs the hosts that a complete list leaves out.
 func (s *listStatus) noteMissing(n *Node, list *discovery.List) {
-	named := make(map[string]bool, len(list.Members))
+	listed := make(map[string]bool, len(list.Members))
 	for _, m := range list.Members {
-		named[m.ID] = true
+		listed[m.ID] = true
 	}
 	for id, before := range s.phases {
-		if !named[id] && before != policy.Gone {
+		if !listed[id] && before != policy.Gone {
 			n.log.Info("host-phase", "host", id, "from", phaseNames[before], "to", phaseNames[policy.Gone], "revision", list.Revision)
 		}
 	}
 }
 
-// take keeps the phases of a list.
-func (s *listStatus) take(list *discovery.List) {
+// setPhases stores the phases of a list.
+func (s *listStatus) setPhases(list *discovery.List) {
 	if list.Complete {
 		s.phases = make(map[string]policy.State, len(list.Members))
 	}
@@ -108,10 +111,10 @@
 	}
 }
 
-// unheard is for how long discovery has not answered; since the start, if it has not yet.
-func (w *watch) unheard(now time.Duration) time.Duration {
-	return now - max(w.status.heardAt, w.node.began)
+// sinceAnswer is the time since the last answer of discovery, or since the start if there was none.
+func (w *watch) sinceAnswer(now time.Duration) time.Duration {
+	return now - max(w.status.answeredAt, w.node.startedAt)
 }
 
-// phaseNames are the phases as the log tells them.
+// phaseNames are the names of phases in the log.
 var phaseNames = map[policy.State]string{policy.Gone: "gone", policy.Ready: "in_service", policy.Draining: "terminating"}
--- a/internal/net/zones.go
+++ b/internal/net/zones.go
@@ -7,33 +7,34 @@
 	"tealtiller/policy"
 )
 
-// zones feeds the zone shares of internal/failover where the operator's file turns them on, and tells each change of a
-// zone's state in the log. As yet it decides nothing: the shares are seen, not acted on (docs/design/failover.md).
-type zones struct {
-	set    failover.Settings
-	module *failover.Zones
-	zoneOf map[string]string // of each listed host, from the list that the weigher holds
-	told   map[string]failover.State
-	again  bool // a look is set for a share still on its way
+// zoneMonitor feeds the zone shares of internal/failover if the operator's file turns them on, and logs each change of
+// a zone's state. The shares do not influence any decision yet (docs/design/failover.md).
+type zoneMonitor struct {
+	settings       failover.Settings
+	tracker        *failover.Zones
+	zoneOf         map[string]string // by host ID, from the list held by the weigher
+	loggedStates   map[string]failover.State
+	checkScheduled bool // a check is scheduled for a share that is still changing
 }
 
-// zoneLook is how often the states are looked at while a share moves: at a swing of 0.25 a second, steps of a sixteenth.
-const zoneLook = 250 * time.Millisecond
+// zoneCheckInterval is how often states are checked while a share changes: at a swing of 0.25 a second, in steps of a
+// sixteenth.
+const zoneCheckInterval = 250 * time.Millisecond
 
-// turnZones starts, keeps or ends the zone shares as the terms say. Danger: new settings would judge old evidence by
-// other figures, so a change begins anew from the list held.
-func (n *Node) turnZones(now time.Duration) {
-	switch set := n.cfg.Failover; {
-	case set == nil:
+// configureZones starts, keeps or ends the zone shares according to the configuration. New settings would judge old
+// evidence by other limits, so after a change the shares start anew from the current list.
+func (n *Node) configureZones(now time.Duration) {
+	switch settings := n.cfg.Failover; {
+	case settings == nil:
 		n.zones = nil
-	case n.zones == nil || n.zones.set != *set:
-		n.zones = &zones{set: *set, module: failover.New(*set), told: map[string]failover.State{}}
-		n.zonesListed(now)
+	case n.zones == nil || n.zones.settings != *settings:
+		n.zones = &zoneMonitor{settings: *settings, tracker: failover.New(*settings), loggedStates: map[string]failover.State{}}
+		n.updateZoneHosts(now)
 	}
 }
 
-// zonesListed takes the list as the weigher holds it, once it has taken what discovery told.
-func (n *Node) zonesListed(now time.Duration) {
+// updateZoneHosts applies the list held by the weigher, after it has taken in an answer of discovery.
+func (n *Node) updateZoneHosts(now time.Duration) {
 	z := n.zones
 	if z == nil {
 		return
@@ -44,36 +45,37 @@
 		hosts[i], zoneOf[s.ID] = failover.Host{Zone: s.Zone, InService: s.State == policy.Ready, UpSince: s.Started}, s.Zone
 	}
 	z.zoneOf = zoneOf
-	z.module.SetHosts(now, hosts)
-	n.zonesTell(now)
+	z.tracker.SetHosts(now, hosts)
+	n.logZoneChanges(now)
 }
 
-// zoneSaw takes the outcome of an attempt at a host: ok where it came up.
-func (n *Node) zoneSaw(now time.Duration, host string, ok bool) {
+// recordZoneOutcome records the outcome of an attempt at a host; ok means that it was established.
+func (n *Node) recordZoneOutcome(now time.Duration, host string, ok bool) {
 	if z := n.zones; z != nil {
 		if zone, known := z.zoneOf[host]; known {
-			z.module.RecordOutcome(now, zone, ok)
-			n.zonesTell(now)
+			z.tracker.RecordOutcome(now, zone, ok)
+			n.logZoneChanges(now)
 		}
 	}
 }
 
-func (n *Node) zonesTell(now time.Duration) {
+// logZoneChanges logs changed states, and schedules another check while a share changes.
+func (n *Node) logZoneChanges(now time.Duration) {
 	z := n.zones
-	for _, name := range z.module.Names() {
-		state := z.module.State(now, name)
-		if was, known := z.told[name]; known && state == was {
+	for _, name := range z.tracker.Names() {
+		state := z.tracker.State(now, name)
+		if logged, known := z.loggedStates[name]; known && state == logged {
 			continue
 		}
-		z.told[name] = state
-		n.count.Add("zone states changed")
-		n.log.Info("zone-state", "zone", name, "state", state.String(), "share", z.module.Share(now, name))
+		z.loggedStates[name] = state
+		n.counters.Add("zone states changed")
+		n.log.Info("zone-state", "zone", name, "state", state.String(), "share", z.tracker.Share(now, name))
 	}
-	if !z.again && z.module.InTransition(now) {
-		z.again = true
-		n.deadlines.Set(now+zoneLook, func(now time.Duration) {
-			if z.again = false; n.zones == z {
-				n.zonesTell(now)
+	if !z.checkScheduled && z.tracker.InTransition(now) {
+		z.checkScheduled = true
+		n.deadlines.Set(now+zoneCheckInterval, func(now time.Duration) {
+			if z.checkScheduled = false; n.zones == z {
+				n.logZoneChanges(now)
 			}
 		})
 	}
