--- a/internal/admin/admin_test.go
+++ b/internal/admin/admin_test.go
@@ -15,29 +15,29 @@
 	"tealtiller/internal/counters"
 )
 
-var calls = map[string]int{
+var requests = map[string]int{
 	"":                                      0,
 	"GET /admin/health HTTP/1.1\r\nHost: a": 0,
-	"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n":                          http.StatusOK,
-	"GET /admin/stats?x=1 HTTP/1.1\r\nHost: a\r\nX: y\r\n\r\nmore":           http.StatusOK,
-	"GET /admin/stats HTTP/1.0\r\n\r\n":                                      http.StatusOK,
-	"GET /admin/stats HTTP/1.1\r\n\r\n":                                      http.StatusBadRequest,
-	"GET /admin/stats HTTP/2.0\r\nHost: a\r\n\r\n":                           http.StatusBadRequest,
-	"OPEN 1 a c=lookup,d=4000\r\n\r\n":                                       http.StatusBadRequest,
-	"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                      http.StatusNotFound,
-	"POST /admin/stats HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n":     http.StatusMethodNotAllowed,
-	"GET /admin/stats HTTP/1.1\r\nX: " + strings.Repeat("x", mostHead):       http.StatusRequestHeaderFieldsTooLarge,
-	"GET /" + strings.Repeat("x", mostHead) + " HTTP/1.1\r\nHost: a\r\n\r\n": http.StatusRequestHeaderFieldsTooLarge,
+	"GET /admin/health HTTP/1.1\r\nHost: a\r\n\r\n":                              http.StatusOK,
+	"GET /admin/stats?x=1 HTTP/1.1\r\nHost: a\r\nX: y\r\n\r\nmore":               http.StatusOK,
+	"GET /admin/stats HTTP/1.0\r\n\r\n":                                          http.StatusOK,
+	"GET /admin/stats HTTP/1.1\r\n\r\n":                                          http.StatusBadRequest,
+	"GET /admin/stats HTTP/2.0\r\nHost: a\r\n\r\n":                               http.StatusBadRequest,
+	"OPEN 1 a c=lookup,d=4000\r\n\r\n":                                           http.StatusBadRequest,
+	"GET / HTTP/1.1\r\nHost: a\r\n\r\n":                                          http.StatusNotFound,
+	"POST /admin/stats HTTP/1.1\r\nHost: a\r\nContent-Length: 5\r\n\r\n":         http.StatusMethodNotAllowed,
+	"GET /admin/stats HTTP/1.1\r\nX: " + strings.Repeat("x", maxHeadBytes):       http.StatusRequestHeaderFieldsTooLarge,
+	"GET /" + strings.Repeat("x", maxHeadBytes) + " HTTP/1.1\r\nHost: a\r\n\r\n": http.StatusRequestHeaderFieldsTooLarge,
 }
 
-func TestParse(t *testing.T) {
-	for text, want := range calls {
+func TestParseRequest(t *testing.T) {
+	for text, want := range requests {
 		_, status := ParseRequest([]byte(text))
 		assert.Equal(t, want, status, "%.60q", text)
 	}
 }
 
-func TestAnswer(t *testing.T) {
+func TestResponse(t *testing.T) {
 	resp, err := http.ReadResponse(bufio.NewReader(bytes.NewReader(Response(http.StatusMethodNotAllowed, "no\n"))), nil)
 	require.NoError(t, err)
 	body, err := io.ReadAll(resp.Body)
@@ -47,8 +47,8 @@
 	assert.Equal(t, "GET", resp.Header.Get("Allow"))
 }
 
-func TestFigures(t *testing.T) {
-	f := Metrics{Classes: map[string]counters.Outcomes{"b": {}, "a": {Completed: 812, Rejected: 2, Failed: 1}}, Attempts: 900, Pending: 14,
+func TestMetricsText(t *testing.T) {
+	m := Metrics{Classes: map[string]counters.Outcomes{"b": {}, "a": {Completed: 812, Rejected: 2, Failed: 1}}, Attempts: 900, Pending: 14,
 		Members: 5, Unavailable: 1, Reloads: 3, ReloadErrors: 4,
 		HostList: HostListMetrics{Revision: 41, SinceAnswer: 1500 * time.Millisecond, Calls: 7, FailedCalls: 2, AttemptsNotWritten: 5}}
 	assert.Equal(t, `svc.downstream_requests.a.completed:812|c
@@ -68,18 +68,18 @@
 svc.list.calls:7|c
 svc.list.calls_failed:2|c
 svc.list.attempts_not_written:5|c
-`, f.Text())
+`, m.Text())
 }
 
 func FuzzParse(f *testing.F) {
-	for text := range calls {
+	for text := range requests {
 		f.Add([]byte(text))
 	}
 	f.Fuzz(func(t *testing.T, raw []byte) {
 		path, status := ParseRequest(raw)
 		assert.Equal(t, status == http.StatusOK, path != "")
-		if status == 0 { // no call may wait for ever
-			assert.LessOrEqual(t, len(raw), mostHead)
+		if status == 0 { // an incomplete request must not grow without a limit
+			assert.LessOrEqual(t, len(raw), maxHeadBytes)
 		}
 	})
 }
--- a/internal/counters/counters.go
+++ b/internal/counters/counters.go
@@ -1,4 +1,4 @@
-// Package counters counts what the balancer takes in, sends and answers, by kind.
+// Package counters counts events of the balancer by name.
 package counters
 
 import (
@@ -8,16 +8,16 @@
 	"slices"
 )
 
-// Set counts by name. It belongs to the event loop.
+// Set counts events by name. It belongs to the event loop and is not safe for concurrent use.
 type Set map[string]int64
 
-// Outcomes counts how requests of a class have ended: brought up, refused, failed.
+// Outcomes counts the requests of a class by outcome: established, refused, failed.
 type Outcomes struct{ Completed, Rejected, Failed int64 }
 
-// Add counts one.
+// Add increments a counter.
 func (s Set) Add(name string) { s[name]++ }
 
-// WriteTo prints all counters in order of their names, one a line.
+// WriteTo writes all counters ordered by name, one a line.
 func (s Set) WriteTo(w io.Writer) (written int64, err error) {
 	for _, name := range slices.Sorted(maps.Keys(s)) {
 		n, err := fmt.Fprintf(w, "count %s %d\n", name, s[name])
--- a/internal/counters/counters_test.go
+++ b/internal/counters/counters_test.go
@@ -7,7 +7,7 @@
 	"github.com/stretchr/testify/assert"
 )
 
-func TestCountersComeInOrder(t *testing.T) {
+func TestCountersAreOrdered(t *testing.T) {
 	s := Set{}
 	s.Add("taken")
 	s.Add("sent")
--- a/internal/net/probe.go
+++ b/internal/net/probe.go
@@ -216,8 +216,7 @@
 	}
 }
 
-// inProgress reports whether an answer or the connection is pending. Such a probe must not be dropped: a request that
-// waits for its answer would wait in vain.
+// inProgress reports whether an answer or connection is pending. Dropping it would leave a request waiting in vain.
 func (p *probe) inProgress() bool { return p != nil && (p.conn == nil || p.answerLimit != nil) }
 
 // close ends the probe; the next one opens a new connection. A nil receiver is allowed.
