--- a/cmd/tealtiller/check.go
+++ b/cmd/tealtiller/check.go
@@ -15,11 +15,12 @@
 	"tealtiller/internal/operator"
 )
 
+// check is the sub-command that checks operator's files.
 type check struct {
 	Files []string `arg:"" type:"path" name:"file" help:"Operator's files."`
 }
 
-// Run checks each file and tells every error of all of them.
+// Run checks the files and reports the errors of all of them.
 func (c check) Run(out io.Writer) error {
 	var all operator.ErrorList
 	for _, path := range c.Files {
@@ -27,7 +28,7 @@
 		var several operator.ErrorList
 		switch {
 		case err == nil:
-			fmt.Fprintf(out, "%s: good\n", path)
+			fmt.Fprintf(out, "%s: valid\n", path)
 		case errors.As(err, &several):
 			all = append(all, several...)
 		default:
@@ -40,20 +41,21 @@
 	return nil
 }
 
+// inspect is the sub-command cells.
 type inspect struct {
 	File string    `arg:"" type:"path" help:"The operator's file."`
-	List string    `type:"path" required:"" help:"A list of desk hosts in discovery's form (GET /discovery/hosts), or '-'."`
-	At   time.Time `format:"2006-01-02T15:04:05Z07:00" help:"The moment to look at; now, if left out."`
+	List string    `type:"path" required:"" help:"A list of desk hosts as sent by discovery (GET /discovery/hosts), or '-' for standard input."`
+	At   time.Time `format:"2006-01-02T15:04:05Z07:00" help:"The time to show; now by default."`
 }
 
-// Run prints the cells as they are at a moment.
+// Run prints the cells as of the given time.
 func (c inspect) Run(out io.Writer) error {
 	file, err := operator.Load(c.File)
 	if err != nil {
 		return err
 	}
 	if file.Cells.CellCount() == 0 {
-		return fmt.Errorf("%s: it has no cells", c.File)
+		return fmt.Errorf("%s: no cells defined", c.File)
 	}
 	raw, err := readAll(c.List)
 	if err != nil {
@@ -80,12 +82,12 @@
 func printCells(out io.Writer, plan *cells.Plan, list *discovery.List, at time.Time) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	dealt := plan.AssignHosts(list.Servers())
+	cellOf := plan.AssignHosts(list.Servers())
 	for _, c := range plan.Cells {
 		var hosts []string
 		count, size, rooms := 0, 0.0, map[string]int{}
 		for _, m := range list.Members {
-			if dealt[m.ID] == c.Name {
+			if cellOf[m.ID] == c.Name {
 				hosts = append(hosts, m.ID)
 				count, size = count+1, size+m.Weight
 				rooms[m.Zone+" "+m.Kind]++
@@ -97,7 +99,7 @@
 			carriers = append(slices.Clone(carriers), "and all others")
 		}
 		if len(hosts) == 0 {
-			hosts = []string{"(none: it refuses whom it cannot pass on)"}
+			hosts = []string{"(none: requests that cannot overflow are refused)"}
 		}
 		fmt.Fprintf(w, "cell %s\t%d hosts, size %.4g\t%s\n", c.Name, count, size, strings.Join(hosts, " "))
 		fmt.Fprintf(w, "\tspread\t%v\n\tcarriers\t%s\n", rooms, strings.Join(carriers, " "))
@@ -112,12 +114,12 @@
 		crossed, now := 0, time.Duration(at.UnixNano())
 		const sample = 10000
 		for i := range sample {
-			if there, _ := m.Crossed(now, uint64(i)); there {
+			if moved, _ := m.Crossed(now, uint64(i)); moved {
 				crossed++
 			}
 		}
 		fmt.Fprintf(w, "move %s\tfrom %s to %s\t%s to %s\n", m.Carrier, m.From, m.To,
 			time.Unix(0, int64(m.Start)).UTC().Format(time.RFC3339), time.Unix(0, int64(m.End())).UTC().Format(time.RFC3339))
-		fmt.Fprintf(w, "\tat %s\t%.0f%% of its flights have crossed\n", at.UTC().Format(time.RFC3339), 100*float64(crossed)/sample)
+		fmt.Fprintf(w, "\tat %s\t%.0f%% of its flights have moved\n", at.UTC().Format(time.RFC3339), 100*float64(crossed)/sample)
 	}
 }
--- a/cmd/tealtiller/descriptors_test.go
+++ b/cmd/tealtiller/descriptors_test.go
@@ -16,17 +16,17 @@
 	"github.com/stretchr/testify/require"
 )
 
-// The system allows the process fewer descriptors than the configuration names. Clients that say nothing make room for one that does,
-// as they do at the configured limit; else it would wait until they have been silent for 2.6 s.
+// The system allows the process fewer descriptors than the configuration. Idle clients must be closed for one with a
+// command, as at the configured limit; else that client would wait until they have been silent for 2.6 s.
 func TestFewerDescriptorsThanConfigured(t *testing.T) {
 	address := fmt.Sprintf("127.%d.0.1:3000", 100+os.Getpid()%100)
 	t.Setenv("EDGE_LISTEN", address)
-	heard := tellList(t)
+	watched := serveEmptyList(t)
 	start(t, "sh", "-c", `ulimit -n 70; exec "$0"`)
 	select {
-	case <-heard:
+	case <-watched:
 	case <-time.After(20 * time.Second):
-		t.Fatal("the list is not heard")
+		t.Fatal("balancer did not receive the list within 20 s")
 	}
 	dial := func() net.Conn {
 		c, err := net.Dial("tcp", address)
@@ -36,7 +36,7 @@
 		return c
 	}
 	begin := time.Now()
-	for range 74 { // 100 are configured, of which 24 are the balancer's own
+	for range 74 { // 100 are configured, of which 24 are reserved by the balancer
 		dial()
 	}
 	client := dial()
@@ -48,13 +48,13 @@
 	assert.Less(t, time.Since(begin), 2500*time.Millisecond)
 }
 
-// tellList makes a discovery that tells an empty list, for the balancers that start after it; heard is closed once one asks for
-// what is newer.
-func tellList(t *testing.T) (heard <-chan struct{}) {
-	watched, once := make(chan struct{}), sync.Once{}
+// serveEmptyList starts a discovery that sends an empty list to balancers started afterwards; watched is closed once one of
+// them asks for newer lists.
+func serveEmptyList(t *testing.T) (watched <-chan struct{}) {
+	requested, once := make(chan struct{}), sync.Once{}
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
 		if r.URL.Query().Has("since") {
-			once.Do(func() { close(watched) })
+			once.Do(func() { close(requested) })
 			<-r.Context().Done()
 			return
 		}
@@ -65,5 +65,5 @@
 		discovery.Close()
 	})
 	t.Setenv("EDGE_DISCOVERY", discovery.Listener.Addr().String())
-	return watched
+	return requested
 }
--- a/cmd/tealtiller/main.go
+++ b/cmd/tealtiller/main.go
@@ -1,5 +1,5 @@
-// Command tealtiller is a balancer for long-lived connections on real sockets. Without a sub-command it serves. It
-// is told all it needs by the environment: EDGE_CONFIG names its configuration, EDGE_OPERATOR the operator's own file.
+// Command tealtiller is a balancer for long-lived TCP connections. Without a sub-command it serves. It is configured
+// by the environment: EDGE_CONFIG names the configuration, EDGE_OPERATOR the operator's file.
 package main
 
 import (
@@ -21,21 +21,22 @@
 	"tealtiller/internal/settings"
 )
 
+// commands are the sub-commands and global flags.
 type commands struct {
-	LogFormat string     `enum:"text,json" default:"text" env:"EDGE_LOG_FORMAT" help:"How the log is written: ${enum}."`
-	LogLevel  slog.Level `default:"info" env:"EDGE_LOG_LEVEL" help:"The least that is logged: debug adds each attempt, report and move."`
+	LogFormat string     `enum:"text,json" default:"text" env:"EDGE_LOG_FORMAT" help:"Format of the log: ${enum}."`
+	LogLevel  slog.Level `default:"info" env:"EDGE_LOG_LEVEL" help:"Lowest level that is logged; debug adds each attempt, report and move."`
 
-	Serve   serve   `cmd:"" default:"withargs" help:"Serve clients; what runs where no sub-command is named."`
-	Check   check   `cmd:"" help:"Check operator's files and tell every error; exit code 1 if there is one."`
-	Cells   inspect `cmd:"" help:"Print which desk host and carrier is in which cell, and what each move would do."`
-	Plan    plan    `cmd:"" help:"Work out placement ahead: make a plan, check it, compare two, gather a fleet from records."`
+	Serve   serve   `cmd:"" default:"withargs" help:"Serve clients; the default sub-command."`
+	Check   check   `cmd:"" help:"Check operator's files and report every error; exit code 1 if there is one."`
+	Cells   inspect `cmd:"" help:"Print the desk hosts and carriers of each cell, and the progress of each move."`
+	Plan    plan    `cmd:"" help:"Plan placement: make a plan, check plans, compare two, gather a fleet from records."`
 	Version version `cmd:"" help:"Print the version."`
 }
 
 func main() {
 	var c commands
 	k := kong.Parse(&c, kong.Name("tealtiller"), kong.UsageOnError(),
-		kong.Description("A balancer for long-lived connections. Its environment tells it all it needs (README.md)."))
+		kong.Description("A balancer for long-lived connections, configured by its environment (README.md)."))
 	k.BindTo(os.Stdout, (*io.Writer)(nil))
 	if err := k.Run(&c); err != nil {
 		var all operator.ErrorList
@@ -50,6 +51,7 @@
 	}
 }
 
+// version is the sub-command that prints the version.
 type version struct{}
 
 func (version) Run(out io.Writer) error {
@@ -64,8 +66,9 @@
 	return err
 }
 
+// serve is the sub-command that runs the balancer.
 type serve struct {
-	Operator string `env:"EDGE_OPERATOR" help:"The operator's own file; without one all in it is off."`
+	Operator string `env:"EDGE_OPERATOR" help:"The operator's file; without one, the features configured in it are off."`
 }
 
 // Run serves until the node has drained or its listener fails.
@@ -75,45 +78,49 @@
 	if c.LogFormat == "json" {
 		handler = slog.NewJSONHandler(os.Stderr, options)
 	}
-	signal.Ignore(syscall.SIGPIPE) // danger: a log that nobody reads any more would end the process
+	// Without this, a log that nobody reads any more would end the process.
+	signal.Ignore(syscall.SIGPIPE)
 	signals, stop := make(chan os.Signal, 4), make(chan os.Signal, 1)
 	signal.Notify(signals, syscall.SIGHUP, syscall.SIGUSR1)
-	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT) // danger: behind others it would wait, or find no place and be lost
+	// These have a channel of their own; otherwise they would wait behind other signals, or be dropped if the channel
+	// is full.
+	signal.Notify(stop, syscall.SIGTERM, syscall.SIGINT)
 	source := settings.NewSource(os.Getenv)
-	load := func() (t net.NodeConfig, err error) {
-		// The operator's file first: a configuration that was read counts as taken.
+	load := func() (config net.NodeConfig, err error) {
+		// The operator's file is read first: source.Load counts the configuration as loaded, which must not happen if
+		// the operator's file is refused.
 		if s.Operator != "" {
 			file, err := operator.Load(s.Operator)
 			if err != nil {
-				return t, err
+				return config, err
 			}
-			t.CellPlan, t.Placement, t.Failover = file.Cells, file.Placement, file.Failover
+			config.CellPlan, config.Placement, config.Failover = file.Cells, file.Placement, file.Failover
 		}
-		t.Config, err = source.Load()
-		return t, err
+		config.Config, err = source.Load()
+		return config, err
 	}
-	terms, err := load()
+	config, err := load()
 	if err != nil {
 		return err
 	}
 	known := &discovery.List{}
-	if len(terms.KnownHosts) > 0 {
-		if known, err = discovery.Parse(terms.KnownHosts); err != nil {
+	if len(config.KnownHosts) > 0 {
+		if known, err = discovery.Parse(config.KnownHosts); err != nil {
 			return fmt.Errorf("configuration: known: %w", err)
 		}
 	}
-	// The loop sits in a system call most of the time. With one processor for Go code, what it wakes would
-	// wait until the runtime's monitor takes that processor away from it.
+	// The event loop spends most of its time in a system call. With a single processor for Go code, goroutines woken
+	// by the loop would wait until the runtime's monitor takes the processor away from it.
 	runtime.GOMAXPROCS(4)
-	node := net.NewNode(terms, known, os.Stderr, os.Getenv("TMPDIR"), slog.New(handler))
+	node := net.NewNode(config, known, os.Stderr, os.Getenv("TMPDIR"), slog.New(handler))
 	go func() {
 		for range stop {
 			node.Drain()
 		}
 	}()
 	go func() {
-		for s := range signals {
-			if s == syscall.SIGHUP {
+		for received := range signals {
+			if received == syscall.SIGHUP {
 				node.Reload(load)
 			} else {
 				node.DumpMetrics()
--- a/cmd/tealtiller/main_test.go
+++ b/cmd/tealtiller/main_test.go
@@ -17,8 +17,8 @@
 	"tealtiller/internal/placement"
 )
 
-// Without a sub-command it serves, also where EDGE_OPERATOR is set to nothing, which names no file.
-func TestWithoutASubCommandItServes(t *testing.T) {
+// Without a sub-command the program serves, also with an empty EDGE_OPERATOR, which names no file.
+func TestServeIsTheDefault(t *testing.T) {
 	t.Setenv("EDGE_OPERATOR", "")
 	for _, args := range [][]string{{}, {"serve"}, {"--log-format", "json"}, {"--operator", "f.hcl"}} {
 		var c commands
@@ -31,7 +31,7 @@
 	}
 }
 
-func TestCheckTellsEveryErrorOfEveryFile(t *testing.T) {
+func TestCheckReportsEveryErrorOfEveryFile(t *testing.T) {
 	folder := t.TempDir()
 	write := func(name, text string) string {
 		path := filepath.Join(folder, name)
@@ -45,23 +45,23 @@
 	var all operator.ErrorList
 	require.ErrorAs(t, err, &all)
 	assert.Len(t, all, 4)
-	assert.Equal(t, good+": good\n", out.String())
+	assert.Equal(t, good+": valid\n", out.String())
 	assert.NoError(t, check{Files: []string{good}}.Run(&out))
 }
 
-func TestCellsTellsWhoIsWhere(t *testing.T) {
+func TestCellsPrintsHostsAndCarriers(t *testing.T) {
 	list := filepath.Join(t.TempDir(), "list.json")
 	require.NoError(t, os.WriteFile(list, []byte(`{"revision":1,"complete":true,"members":[
 		{"id":"s-0","host_port":"127.0.0.1:1","locality":"a","flavor":"m","cell":1,"phase":"in_service","size":2,"up_since_ms":0}]}`), 0o600))
 	var out bytes.Buffer
 	at := time.Date(2026, 12, 2, 3, 10, 0, 0, time.UTC)
 	require.NoError(t, inspect{File: "../../deploy/operator.hcl", List: list, At: at}.Run(&out))
-	for _, want := range []string{"1 hosts, size 2", "(none: it refuses", "100% of its flights have crossed", "dyfed-air severn-link"} {
+	for _, want := range []string{"1 hosts, size 2", "(none: requests that cannot overflow are refused)", "100% of its flights have moved", "dyfed-air severn-link"} {
 		assert.Contains(t, out.String(), want)
 	}
 }
 
-// From records to a fleet, to a plan, to a second one, and what is different.
+// From records to a fleet, to two plans, and to their differences.
 func TestPlans(t *testing.T) {
 	folder := t.TempDir()
 	in := func(name string) string { return filepath.Join(folder, name) }
@@ -84,25 +84,25 @@
 		return k.Run(&c)
 	}
 	require.NoError(t, run("plan", "gather", in("records"), "--out", in("fleet")))
-	assert.Contains(t, out.String(), "2 hosts, 2 flights; 0 lines made no sense")
+	assert.Contains(t, out.String(), "2 hosts, 2 flights; 0 invalid lines")
 	require.NoError(t, run("plan", "--in", in("fleet"), "--out", in("a"), "--quiet"))
 	assert.Contains(t, out.String(), "found by")
 	require.NoError(t, run("plan", "--in", in("fleet"), "--out", in("b"), "--hosts", "--quiet"))
 	require.NoError(t, run("plan", "check", in("a"), in("b")))
 	out.Reset()
 	require.NoError(t, run("plan", "diff", in("a"), in("b")))
-	assert.Contains(t, out.String(), "2 are no longer named")
+	assert.Contains(t, out.String(), "2 are no longer in the plan")
 	var all operator.ErrorList
 	require.ErrorAs(t, run("plan", "check", in("a"), in("fleet")), &all)
 	assert.Len(t, all, 1)
 	assert.Error(t, run("plan", "--in", in("fleet"), "--even", "0.5"))
 }
 
-// A file that cannot be replaced stays as it was, and nothing is left beside it.
-func TestAFileThatCannotBeReplaced(t *testing.T) {
+// A file that cannot be replaced stays unchanged, and no temporary file is left.
+func TestReplaceFailureKeepsFile(t *testing.T) {
 	folder := t.TempDir()
 	path := filepath.Join(folder, "plan.json")
-	require.NoError(t, os.MkdirAll(filepath.Join(path, "old"), 0o700)) // to rename a file onto it fails
+	require.NoError(t, os.MkdirAll(filepath.Join(path, "old"), 0o700)) // renaming a file onto a directory fails
 	require.Error(t, replace(path, []byte("new")))
 	left, err := os.ReadDir(folder)
 	require.NoError(t, err)
--- a/cmd/tealtiller/plan.go
+++ b/cmd/tealtiller/plan.go
@@ -15,55 +15,57 @@
 	"tealtiller/internal/placement"
 )
 
+// plan groups the sub-commands for placement plans.
 type plan struct {
-	Make   planMake   `cmd:"" default:"withargs" help:"Make a plan for a fleet; what runs where no other is named."`
-	Check  planCheck  `cmd:"" help:"Check plans; exit code 1 if one makes no sense."`
-	Diff   planDiff   `cmd:"" help:"Tell what is different between two plans."`
-	Gather planGather `cmd:"" help:"Make a fleet of what balancers recorded."`
+	Make   planMake   `cmd:"" default:"withargs" help:"Make a plan for a fleet; the default."`
+	Check  planCheck  `cmd:"" help:"Check plans; exit code 1 if one is invalid."`
+	Diff   planDiff   `cmd:"" help:"Show the differences between two plans."`
+	Gather planGather `cmd:"" help:"Derive a fleet from the records of balancers."`
 }
 
+// planMake makes a plan.
 type planMake struct {
 	In    string        `required:"" type:"path" help:"The fleet (JSON; docs/placement.md)."`
-	Out   string        `type:"path" help:"Where the plan goes; only the tables, if left out."`
-	Limit time.Duration `default:"10s" help:"The most time that the search may take."`
-	Holds time.Duration `default:"6h" help:"For how long the plan is in full force."`
-	Fades time.Duration `default:"1h" help:"Over how long it then gives way to what discovery tells."`
-	Seed  uint64        `default:"1" help:"Of all chance in the search."`
-	Even  float64       `default:"1.02" help:"Take no host to be fuller than so many times the fleet's mean; 0: up to its limit."`
-	Hosts bool          `help:"Place flights on hosts, and plan weights by room, in place of giving each flight to a room's cell."`
-	Quiet bool          `help:"No progress on standard error."`
+	Out   string        `type:"path" help:"File for the plan; without it, only the tables are printed."`
+	Limit time.Duration `default:"10s" help:"Time limit of the search."`
+	Holds time.Duration `default:"6h" help:"How long the plan is in full force."`
+	Fades time.Duration `default:"1h" help:"How long it then takes to fade out in favour of the weights from discovery."`
+	Seed  uint64        `default:"1" help:"Seed of the search's random numbers."`
+	Even  float64       `default:"1.02" help:"Limit of a host's utilisation, as a multiple of the fleet's mean; 0: only the host's own limit."`
+	Hosts bool          `help:"Place flights on hosts and plan weights by room, instead of assigning each flight to a room's cell."`
+	Quiet bool          `help:"Print no progress on standard error."`
 }
 
 func (c planMake) Run(out io.Writer) error {
 	if c.Even != 0 && !(c.Even >= 1 && c.Even <= 10) {
-		return fmt.Errorf("--even %v: want 0, or 1 to 10", c.Even)
+		return fmt.Errorf("--even %v: must be 0, or from 1 to 10", c.Even)
 	}
 	text, err := os.ReadFile(c.In)
 	if err != nil {
 		return err
 	}
-	f, err := placement.ParseFleet(text)
+	fleet, err := placement.ParseFleet(text)
 	if err != nil {
 		return fmt.Errorf("%s:%w", c.In, err)
 	}
-	began := time.Now()
-	told := began
-	whole := f
+	started := time.Now()
+	lastProgress := started
+	planned := fleet
 	if c.Hosts {
-		f = placement.LimitUtilisation(f, c.Even)
-		whole = f
+		fleet = placement.LimitUtilisation(fleet, c.Even)
+		planned = fleet
 	} else {
-		f = placement.LimitUtilisation(placement.RoomsAsCells(f), c.Even)
+		fleet = placement.LimitUtilisation(placement.RoomsAsCells(fleet), c.Even)
 	}
-	a := placement.Solve(f, placement.SearchLimit{Seed: c.Seed, Stop: func() bool { return time.Since(began) >= c.Limit },
+	solution := placement.Solve(fleet, placement.SearchLimit{Seed: c.Seed, Stop: func() bool { return time.Since(started) >= c.Limit },
 		Progress: func(worth, bound float64, steps int) {
-			if now := time.Now(); !c.Quiet && now.Sub(told) >= time.Second {
-				told = now
-				fmt.Fprintf(os.Stderr, "%3.0f s: worth %.6g, at the most %.6g, %d steps\n", now.Sub(began).Seconds(), worth, bound, steps)
+			if now := time.Now(); !c.Quiet && now.Sub(lastProgress) >= time.Second {
+				lastProgress = now
+				fmt.Fprintf(os.Stderr, "%3.0f s: worth %.6g, upper bound %.6g, %d steps\n", now.Sub(started).Seconds(), worth, bound, steps)
 			}
 		}})
-	made := placement.NewPlan(whole, a, time.Now(), c.Holds, c.Fades)
-	printPlan(out, f, a, made)
+	made := placement.NewPlan(planned, solution, time.Now(), c.Holds, c.Fades)
+	printPlan(out, fleet, solution, made)
 	if c.Out == "" {
 		return nil
 	}
@@ -73,51 +75,57 @@
 	return replace(c.Out, append(text, '\n'))
 }
 
-// mostRows is how many hosts are told one by one; of more, those that change most.
-const mostRows = 40
+// maxRows limits the number of hosts printed, to those that change most.
+const maxRows = 40
 
-func printPlan(out io.Writer, f *placement.Fleet, a *placement.Solution, made *placement.Plan) {
+// printPlan prints the solution compared with the current placement, by room and by host.
+func printPlan(out io.Writer, fleet *placement.Fleet, solution *placement.Solution, made *placement.Plan) {
 	w := tabwriter.NewWriter(out, 0, 0, 2, ' ', 0)
 	defer w.Flush()
-	now := placement.CurrentPlacement(f)
-	before, after := now.Loads(f), a.Loads(f)
-	fmt.Fprintf(w, "found by\t%s\tin %d steps\n", a.Method, a.Steps)
-	fmt.Fprintf(w, "worth a second\t%.5g\tat the most %.5g (%.2f%% more); as it stands %.5g\n", a.Total, a.Bound, 100*a.Gap, now.Total)
-	fmt.Fprintf(w, "crosses rooms\t%.2f%%\tas it stands %.2f%%\n", percent(a.CrossedWorth, a.ServedWorth), percent(now.CrossedWorth, now.ServedWorth))
-	fmt.Fprintf(w, "hosts a flight\t%.3f\tas it stands %.3f\n", ratio(float64(a.FlightHostPairs), float64(len(f.Flights))), ratio(float64(now.FlightHostPairs), float64(len(f.Flights))))
-	fmt.Fprintf(w, "not served\t%.2f%%\tof the worth; as it stands %.2f%%\n", percent(a.ShedWorth, a.ShedWorth+a.ServedWorth), percent(now.ShedWorth, now.ShedWorth+now.ServedWorth))
-	for _, b := range a.BindingConstraints {
-		fmt.Fprintf(w, "full\troom %s\ta further load served there would bring %.3g a second\n", b.Room, b.ShadowPrice)
+	current := placement.CurrentPlacement(fleet)
+	before, after := current.Loads(fleet), solution.Loads(fleet)
+	fmt.Fprintf(w, "found by\t%s\tin %d steps\n", solution.Method, solution.Steps)
+	fmt.Fprintf(w, "worth per second\t%.5g\tupper bound %.5g (%.2f%% more); currently %.5g\n",
+		solution.Total, solution.Bound, 100*solution.Gap, current.Total)
+	fmt.Fprintf(w, "crosses rooms\t%.2f%%\tcurrently %.2f%%\n", percent(solution.CrossedWorth, solution.ServedWorth),
+		percent(current.CrossedWorth, current.ServedWorth))
+	fmt.Fprintf(w, "hosts per flight\t%.3f\tcurrently %.3f\n", ratio(float64(solution.FlightHostPairs), float64(len(fleet.Flights))),
+		ratio(float64(current.FlightHostPairs), float64(len(fleet.Flights))))
+	fmt.Fprintf(w, "not served\t%.2f%%\tof the worth; currently %.2f%%\n", percent(solution.ShedWorth, solution.ShedWorth+solution.ServedWorth),
+		percent(current.ShedWorth, current.ShedWorth+current.ServedWorth))
+	for _, b := range solution.BindingConstraints {
+		fmt.Fprintf(w, "full\troom %s\tone more load served there would be worth %.3g per second\n", b.Room, b.ShadowPrice)
 	}
 	for i, s := range made.ShedDemand {
 		if i == 8 {
 			fmt.Fprintf(w, "shed\t...\t%d more carriers\n", len(made.ShedDemand)-i)
 			break
 		}
-		fmt.Fprintf(w, "shed\tcarrier %s\t%.4g loads, worth %.4g a second\n", s.Carrier, s.Load, s.Worth)
+		fmt.Fprintf(w, "shed\tcarrier %s\t%.4g loads, worth %.4g per second\n", s.Carrier, s.Load, s.Worth)
 	}
 	rooms := map[string][3]float64{}
-	hosts := slices.Clone(f.Hosts)
+	hosts := slices.Clone(fleet.Hosts)
 	for _, h := range hosts {
 		r := rooms[h.Room]
-		rooms[h.Room] = [3]float64{r[0] + h.UsableCapacity(&f.Prices), r[1] + before[h.ID], r[2] + after[h.ID]}
+		rooms[h.Room] = [3]float64{r[0] + h.UsableCapacity(&fleet.Prices), r[1] + before[h.ID], r[2] + after[h.ID]}
 	}
-	fmt.Fprintf(w, "\nroom\tserves\tholds\tplanned\tfull\n")
+	fmt.Fprintf(w, "\nroom\tcapacity\tcurrent\tplanned\tutilisation\n")
 	for _, room := range slices.Sorted(maps.Keys(rooms)) {
 		r := rooms[room]
 		fmt.Fprintf(w, "%s\t%.4g\t%.4g\t%.4g\t%.0f%%\n", room, r[0], r[1], r[2], percent(r[2], r[0]))
 	}
-	if len(hosts) > mostRows {
+	if len(hosts) > maxRows {
 		slices.SortStableFunc(hosts, func(x, y placement.Host) int {
 			return int(math.Copysign(1, math.Abs(after[y.ID]-before[y.ID])-math.Abs(after[x.ID]-before[x.ID])))
 		})
-		fmt.Fprintf(w, "\nthe %d of %d hosts that change most\n", mostRows, len(hosts))
-		hosts = hosts[:mostRows]
+		fmt.Fprintf(w, "\nthe %d of %d hosts with the largest changes\n", maxRows, len(hosts))
+		hosts = hosts[:maxRows]
 	}
-	fmt.Fprintf(w, "\nhost\troom\tkind\tserves\tholds\tplanned\tfull\n")
+	fmt.Fprintf(w, "\nhost\troom\tkind\tcapacity\tcurrent\tplanned\tutilisation\n")
 	for _, h := range hosts {
-		serves := h.UsableCapacity(&f.Prices)
-		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.0f%%\n", h.ID, h.Room, h.Kind, serves, before[h.ID], after[h.ID], percent(after[h.ID], serves))
+		capacity := h.UsableCapacity(&fleet.Prices)
+		fmt.Fprintf(w, "%s\t%s\t%s\t%.4g\t%.4g\t%.4g\t%.0f%%\n",
+			h.ID, h.Room, h.Kind, capacity, before[h.ID], after[h.ID], percent(after[h.ID], capacity))
 	}
 }
 
@@ -129,6 +137,7 @@
 }
 func percent(a, b float64) float64 { return 100 * ratio(a, b) }
 
+// planCheck checks plans.
 type planCheck struct {
 	Files []string `arg:"" type:"path" name:"plan" help:"Plans."`
 }
@@ -142,8 +151,8 @@
 			continue
 		}
 		force, next := p.Force(time.Duration(time.Now().UnixNano()))
-		fmt.Fprintf(out, "%s: good; born %s, by %s, %d hosts, %d flights, now in force to %.0f%%", path, p.Created.Format(time.RFC3339), p.Method,
-			len(p.Hosts), len(p.Flights), 100*force)
+		fmt.Fprintf(out, "%s: valid; created %s, method %s, %d hosts, %d flights, currently %.0f%% in force",
+			path, p.Created.Format(time.RFC3339), p.Method, len(p.Hosts), len(p.Flights), 100*force)
 		if next > 0 {
 			fmt.Fprintf(out, ", until %s", time.Unix(0, int64(next)).UTC().Format(time.RFC3339))
 		}
@@ -167,12 +176,13 @@
 	return p, nil
 }
 
+// planDiff compares two plans.
 type planDiff struct {
 	A string `arg:"" type:"path" help:"A plan."`
 	B string `arg:"" type:"path" help:"Another one."`
 }
 
-// Run tells by how much the shares of hosts differ: that share of keys goes elsewhere, at the least.
+// Run prints how much the shares of hosts differ: at least that share of the keys moves to other hosts.
 func (c planDiff) Run(out io.Writer) error {
 	a, err := readPlan(c.A)
 	if err != nil {
@@ -197,7 +207,7 @@
 		for id := range x {
 			moved += math.Max(x[id]-y[id], 0)
 		}
-		fmt.Fprintf(w, "room %s\t%.1f%% of its keys go to other hosts\n", room, 100*moved)
+		fmt.Fprintf(w, "room %s\t%.1f%% of its keys move to other hosts\n", room, 100*moved)
 		all := maps.Clone(x)
 		maps.Copy(all, y)
 		ids := slices.SortedFunc(maps.Keys(all), func(p, q string) int {
@@ -206,33 +216,34 @@
 			}
 			return 0
 		})
-		for _, id := range ids[:min(len(ids), mostRows)] {
+		for _, id := range ids[:min(len(ids), maxRows)] {
 			if x[id] != y[id] {
 				fmt.Fprintf(w, "  %s\t%.2f%%\t%.2f%%\n", id, 100*x[id], 100*y[id])
 			}
 		}
 	}
-	moved, only := 0, 0
+	moved, removed := 0, 0
 	for key, cell := range a.Flights {
-		if other, there := b.Flights[key]; !there {
-			only++
+		if other, present := b.Flights[key]; !present {
+			removed++
 		} else if other != cell {
 			moved++
 		}
 	}
 	if len(a.Flights)+len(b.Flights) > 0 {
-		fmt.Fprintf(w, "flights\t%d go to another cell, %d are no longer named, %d are new\n", moved, only, len(b.Flights)-len(a.Flights)+only)
+		fmt.Fprintf(w, "flights\t%d move to another cell, %d are no longer in the plan, %d are new\n", moved, removed, len(b.Flights)-len(a.Flights)+removed)
 	}
 	return nil
 }
 
+// shares normalises weights to a sum of 1.
 func shares(weights map[string]float64) map[string]float64 {
-	all, out := 0.0, map[string]float64{}
+	total, out := 0.0, map[string]float64{}
 	for _, w := range weights {
-		all += w
+		total += w
 	}
 	for id, w := range weights {
-		out[id] = w / all
+		out[id] = w / total
 	}
 	return out
 }
--- a/cmd/tealtiller/replace.go
+++ b/cmd/tealtiller/replace.go
@@ -5,7 +5,7 @@
 	"path/filepath"
 )
 
-// replace writes a file whole or not at all: a balancer may read it at any moment.
+// replace writes a file atomically, since a balancer may read it at any moment.
 func replace(path string, text []byte) error {
 	f, err := os.CreateTemp(filepath.Dir(path), ".plan-*")
 	if err != nil {
@@ -16,10 +16,11 @@
 		err = f.Chmod(0o644)
 	}
 	if err == nil {
-		err = f.Sync() // danger: a machine that stops may have kept the new name, and not what is under it
+		// Without it, after a crash of the machine the new name could exist without the contents.
+		err = f.Sync()
 	}
-	if closing := f.Close(); err == nil {
-		err = closing
+	if closeErr := f.Close(); err == nil {
+		err = closeErr
 	}
 	if err != nil {
 		return err
--- a/cmd/tealtiller/signals_test.go
+++ b/cmd/tealtiller/signals_test.go
@@ -16,7 +16,7 @@
 	"github.com/stretchr/testify/require"
 )
 
-// TestMain runs the program itself where a test has started it so.
+// TestMain runs the program itself if a test has started it as such.
 func TestMain(m *testing.M) {
 	if os.Getenv("TEST_AS_PROGRAM") != "" {
 		os.Args = os.Args[:1]
@@ -26,7 +26,7 @@
 	os.Exit(m.Run())
 }
 
-// configuration writes that of a balancer whose discovery is silent.
+// configuration writes the configuration of a balancer whose discovery does not answer.
 func configuration(t *testing.T) (path string) {
 	t.Helper()
 	discovery, err := net.Listen("tcp", "127.0.0.1:0")
@@ -42,9 +42,9 @@
 	return path
 }
 
-// program is the balancer as a process that has not started yet, by the command under where there is one.
-func program(t *testing.T, config string, under ...string) *exec.Cmd {
-	command := append(under, os.Args[0])
+// program is a balancer process that is not started yet, run by the given command if there is one.
+func program(t *testing.T, config string, wrapper ...string) *exec.Cmd {
+	command := append(wrapper, os.Args[0])
 	balancer := exec.Command(command[0], command[1:]...)
 	balancer.Env = append(os.Environ(), "TEST_AS_PROGRAM=1", "EDGE_CONFIG="+config, "TMPDIR="+t.TempDir(), "EDGE_OPERATOR=")
 	t.Cleanup(func() {
@@ -65,58 +65,59 @@
 	return lines
 }
 
-// start starts a balancer whose discovery is silent, by the command under where there is one, and returns when it is ready.
-func start(t *testing.T, under ...string) (balancer *exec.Cmd, config string) {
+// start starts a balancer whose discovery does not answer, by the given command if there is one, and returns when it
+// is ready.
+func start(t *testing.T, wrapper ...string) (balancer *exec.Cmd, config string) {
 	t.Helper()
 	config = configuration(t)
-	balancer = program(t, config, under...)
+	balancer = program(t, config, wrapper...)
 	log, err := balancer.StderrPipe()
 	require.NoError(t, err)
 	require.NoError(t, balancer.Start())
 	lines := awaitReady(t, log)
-	go func() { // what it writes further must not fill the pipe
+	go func() { // further output must not fill the pipe
 		for lines.Scan() {
 		}
 	}()
 	return balancer, config
 }
 
-// SIGTERM ends the balancer in good order though a reload that will not end is under way, and other signals wait behind it.
-func TestStopIsNotHeldUpByAReload(t *testing.T) {
+// SIGTERM ends the balancer gracefully while a reload blocks and other signals are queued behind it.
+func TestStopDuringBlockedReload(t *testing.T) {
 	balancer, config := start(t)
 	require.NoError(t, os.Remove(config))
-	require.NoError(t, syscall.Mkfifo(config, 0o600)) // whoever reads it waits for somebody who writes
+	require.NoError(t, syscall.Mkfifo(config, 0o600)) // a reader blocks until somebody writes
 	require.NoError(t, balancer.Process.Signal(syscall.SIGHUP))
 	for range 8 {
 		require.NoError(t, balancer.Process.Signal(syscall.SIGUSR1))
 		require.NoError(t, balancer.Process.Signal(syscall.SIGHUP))
 	}
 	require.NoError(t, balancer.Process.Signal(syscall.SIGTERM))
-	require.NoError(t, balancer.Process.Signal(syscall.SIGTERM)) // told twice, it ends once
+	require.NoError(t, balancer.Process.Signal(syscall.SIGTERM)) // a second signal changes nothing
 	ended := make(chan error, 1)
 	go func() { ended <- balancer.Wait() }()
 	select {
 	case err := <-ended:
 		require.NoError(t, err)
 	case <-time.After(20 * time.Second):
-		t.Fatal("it goes on")
+		t.Fatal("balancer still running 20 s after SIGTERM")
 	}
 }
 
-// A log that nobody reads any more costs the log, and nothing else.
-func TestServingGoesOnWithoutALog(t *testing.T) {
-	read, written, err := os.Pipe()
+// The balancer keeps running when nobody reads its log any more.
+func TestServingWithoutLogReader(t *testing.T) {
+	logReader, logWriter, err := os.Pipe()
 	require.NoError(t, err)
 	config := configuration(t)
 	balancer := program(t, config)
-	balancer.Stderr = written
+	balancer.Stderr = logWriter
 	require.NoError(t, balancer.Start())
-	require.NoError(t, written.Close())
-	awaitReady(t, read)
-	require.NoError(t, read.Close())
-	require.NoError(t, balancer.Process.Signal(syscall.SIGUSR1)) // which it answers in its log
+	require.NoError(t, logWriter.Close())
+	awaitReady(t, logReader)
+	require.NoError(t, logReader.Close())
+	require.NoError(t, balancer.Process.Signal(syscall.SIGUSR1)) // writes metrics to the log
 	require.NoError(t, os.Remove(config))
-	require.NoError(t, balancer.Process.Signal(syscall.SIGHUP)) // and this too
+	require.NoError(t, balancer.Process.Signal(syscall.SIGHUP)) // logs a refused configuration
 	require.NoError(t, balancer.Process.Signal(syscall.SIGTERM))
 	require.NoError(t, balancer.Wait())
 }
--- a/cmd/tealtiller/soak_test.go
+++ b/cmd/tealtiller/soak_test.go
@@ -17,7 +17,7 @@
 
 const ms = time.Millisecond
 
-// playOnProcesses plays a script on real processes of this program.
+// playOnProcesses runs a script on real processes of this program.
 func playOnProcesses(t *testing.T, script *soak.Script) *soak.Result {
 	t.Helper()
 	result, err := soak.Play(script, soak.Options{Binary: os.Args[0], Env: []string{"TEST_AS_PROGRAM=1"}, Folder: t.TempDir()})
@@ -25,12 +25,12 @@
 	return result
 }
 
-// Seen in service: after four reloads within two seconds, each of which names another discovery, balancers had no list for
-// five to eleven seconds, and one sent a request to a host that had drained meanwhile. The new discovery could be reached
-// all the time, but took longer for an answer than the 1.6 s after which a balancer gave its call up and began a new one;
-// so it never heard of the drain, and went on by the list of before. What told it apart from a discovery that is silent:
-// the first lists came 1.06 to 1.57 s after a multiple of 1.6 s since the reload, none sooner.
-func TestReloadsInARowBeforeASlowDiscovery(t *testing.T) {
+// Guards against a failure seen in service. After four reloads within two seconds, each naming another discovery,
+// balancers had no list for five to eleven seconds, and one sent a request to a host that had drained meanwhile. The
+// new discovery was reachable, but took longer to answer than the 1.6 s after which a balancer gave up its call and
+// began a new one; so it never learned of the drain and kept using the previous list. The first lists arrived 1.06 to
+// 1.57 s after a multiple of 1.6 s since the reload, none sooner, which ruled out a silent discovery.
+func TestRepeatedReloadsWithSlowDiscovery(t *testing.T) {
 	script := &soak.Script{Script: drainsearch.Script{Seed: 46, Balancers: 2, Hosts: 3, Grace: 300 * ms, Aim: 300 * ms,
 		AskWithin: 10 * time.Second, Connect: 150 * ms, Length: 14 * time.Second}, MaxAttempts: 6, Deadline: 1200 * ms, GoneStaysUp: true}
 	for balancer := range script.Balancers {
@@ -51,8 +51,8 @@
 	assert.Greater(t, result.Answers["UP"], 100, "requests served")
 }
 
-// Runs drawn from seeds, the same ones each time; docs/soak.md tells what they play. A break that only a strict reading of the
-// pages finds is printed: KNOWN-RED.txt names its cause.
+// Runs drawn from fixed seeds; docs/soak.md describes them. Violations found only by the strict reading of the
+// requirements are printed: KNOWN-RED.txt names their cause.
 func TestSoak(t *testing.T) {
 	for _, seed := range []uint64{1, 2, 3, 4} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -66,13 +66,13 @@
 				t.Error(b)
 			}
 			assert.Greater(t, result.Answers["UP"], 80, "requests served")
-			assert.Greater(t, result.Lines, 1000, "lines answered on standing connections")
+			assert.Greater(t, result.Lines, 1000, "lines answered on established connections")
 		})
 	}
 }
 
-// Drawn runs that broke the drain rule, read strictly, while a list was used whatever its age: slow first calls to
-// discovery, also of a process that started anew, and one silent call after the other.
+// Drawn runs that violated the drain rule, read strictly, while a list was used whatever its age: slow first calls to
+// discovery, also of a restarted process, and consecutive calls without an answer.
 func TestSoakReadStrictly(t *testing.T) {
 	for _, seed := range []uint64{8849, 9905, 9919} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -86,8 +86,9 @@
 	}
 }
 
-// Runs in which events meet that seldom do: connections come up as their host drains, clients leave in a burst while their
-// balancer is stopped, all hosts hang through a shutdown. docs/soak.md tells what they find with the code that holds taken out.
+// Runs with rare combinations of events: connections established while their host drains, bursts of leaving clients
+// while their balancer is stopped, all hosts hanging during a shutdown. docs/soak.md tells what they find when the
+// protecting code is removed.
 func TestSoakCrossings(t *testing.T) {
 	for _, seed := range []uint64{300, 302} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
@@ -101,27 +102,27 @@
 	}
 }
 
-// The judge finds what is planted, in one run each.
+// The checker finds each planted fault in a single run.
 func TestSoakFindsPlantedFaults(t *testing.T) {
 	for _, plant := range []soak.Plant{soak.LongerGrace, soak.EarlyKill, soak.MoreAttempts, soak.SafeClasses, soak.LongerWindow} {
 		t.Run(plant.String(), func(t *testing.T) {
 			t.Parallel()
-			result, err := soak.Play(plantable(), soak.Options{Binary: os.Args[0], Env: []string{"TEST_AS_PROGRAM=1"}, Folder: t.TempDir(), Plant: plant})
+			result, err := soak.Play(plantableScript(), soak.Options{Binary: os.Args[0], Env: []string{"TEST_AS_PROGRAM=1"}, Folder: t.TempDir(), Plant: plant})
 			require.NoError(t, err)
 			rules := map[soak.Plant]string{soak.LongerGrace: "drain", soak.EarlyKill: "lost", soak.MoreAttempts: "attempts",
 				soak.SafeClasses: "duplicate", soak.LongerWindow: "duplicate"}
 			assert.True(t, slices.ContainsFunc(result.Breaks, func(b soak.Break) bool { return b.Rule == rules[plant] }), "%v", result.Breaks)
 		})
 	}
-	t.Run("nothing planted", func(t *testing.T) {
+	t.Run("no fault planted", func(t *testing.T) {
 		t.Parallel()
-		assert.Empty(t, playOnProcesses(t, plantable()).Breaks)
+		assert.Empty(t, playOnProcesses(t, plantableScript()).Breaks)
 	})
 }
 
-// plantable is a run of a few seconds in which each planted fault shows: hosts fail attempts, one drains, the balancer is told to
-// end while requests are out.
-func plantable() *soak.Script {
+// plantableScript is a run of a few seconds in which each planted fault shows: hosts fail attempts, one drains, and the
+// balancer is stopped while requests are pending.
+func plantableScript() *soak.Script {
 	const deadline = 5 * time.Second
 	s := &soak.Script{Script: drainsearch.Script{Seed: 7, Balancers: 1, Hosts: 4, Grace: 300 * ms, Aim: 2500 * ms, AskWithin: 10 * time.Second,
 		Connect: 150 * ms, Length: 11 * time.Second}, MaxAttempts: 2, Deadline: deadline, GoneStaysUp: true}
@@ -129,11 +130,11 @@
 		s.Requests = append(s.Requests, drainsearch.Request{At: at, Key: uint64(len(s.Requests)), TTL: deadline, Class: class, Answers: answers})
 	}
 	s.Changes = []drainsearch.Change{{At: 2 * time.Second, Host: 0, Phase: drainaudit.Terminating}, {At: 2 * time.Second, Host: 1, Phase: drainaudit.Terminating}}
-	for i := range 30 { // mid-flow ones may go to a host that drains, in its grace
+	for i := range 30 { // mid-flow requests may go to a draining host within its grace period
 		request(2300*ms+time.Duration(i)*30*ms, "safe", drainsearch.Up)
 		s.Requests[len(s.Requests)-1].MidFlow = true
 	}
-	for i := range 6 { // refused where they come first, so that all attempts are used
+	for i := range 6 { // refused by the first hosts, so that all attempts are used
 		request(time.Second+time.Duration(i)*100*ms, "safe", drainsearch.Errs, drainsearch.Errs, drainsearch.Errs, drainsearch.Errs)
 		request(time.Second+time.Duration(i)*100*ms, "unsafe", drainsearch.Errs, drainsearch.Errs)
 		request(time.Second+time.Duration(i)*100*ms, "keyed", drainsearch.Nothing, drainsearch.Up)
