--- a/internal/net/handovermessage.go
+++ b/internal/net/handovermessage.go
@@ -17,8 +17,8 @@
 	fallbackLine string // written to the client if the message cannot be sent
 }
 
-// fallbackLines are the last lines for clients whose sockets could not be handed over. Only sockets that are between
-// two lines are handed over.
+// fallbackLines are the last lines for clients whose sockets could not be handed over. Only sockets whose output ends
+// with a complete line are handed over, so these lines cannot split another one.
 var fallbackLines = map[handover.Kind]string{handover.KindIdleClient: "BUSY\r\n", handover.KindEstablished: "MOVE\r\n"}
 
 // writeTo sends the message and reports success.
