--- a/cmd/lab/compare.go
+++ b/cmd/lab/compare.go
@@ -13,8 +13,8 @@
 
 // compare prints the figures of two results side by side.
 type compare struct {
-	A string `arg:"" type:"path" help:"A result of run."`
-	B string `arg:"" type:"path" help:"Another one."`
+	A string `arg:"" type:"path" help:"File with a result of run."`
+	B string `arg:"" type:"path" help:"File with the result to compare it with."`
 }
 
 func (c compare) Run(out io.Writer) error {
--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -1,5 +1,5 @@
-// Command lab is the laboratory: stand-in fleets, faults by schedule, proofs with figures, and plots. What it links
-// (plots, simulation) the daemon does not.
+// Command lab is the laboratory: it plays simulated fleets with scheduled faults, runs proofs that report figures, and
+// draws plots. It is a program of its own so that the balancer does not link its dependencies (plots, simulation).
 package main
 
 import (
@@ -19,15 +19,16 @@
 	"tealtiller/internal/lab"
 )
 
+// commands are the sub-commands of lab; the name of each field is the name of a command.
 type commands struct {
 	Run     run         `cmd:"" help:"Play an experiment on loopback sockets against real balancers; JSON goes to --out."`
 	Virtual virtual     `cmd:"" help:"Play an experiment in virtual time."`
-	Compare compare     `cmd:"" help:"Put two results of run side by side."`
-	Prove   prove       `cmd:"" help:"Run a proof; one JSON line of figures comes last, exit code 1 if a promise is broken."`
-	Soak    soakCommand `cmd:"" help:"Play real processes under faults drawn from a seed, and judge them; exit code 1 if a rule is broken."`
-	Count   count       `cmd:"" help:"Count the logs of a whole fleet by second and desk host; they must be written at the debug level."`
-	Site    site        `cmd:"" help:"Write a deployment that nobody has looked at, from a seed, as the operators' bench reads it."`
-	Up      up          `cmd:"" help:"Start a small fleet with light load, and show live figures until Ctrl-C."`
+	Compare compare     `cmd:"" help:"Compare two results of run side by side."`
+	Prove   prove       `cmd:"" help:"Run a proof; one JSON line of figures comes last, exit code 1 if a requirement is violated."`
+	Soak    soakCommand `cmd:"" help:"Play real processes under faults drawn from a seed, and check them against the rules; exit code 1 if a rule is broken."`
+	Count   count       `cmd:"" help:"Count the logs of a fleet by second and desk host; they must be written at the debug level."`
+	Site    site        `cmd:"" help:"Generate a deployment that nobody has seen before, from a seed, in the format that the operators' bench reads."`
+	Up      up          `cmd:"" help:"Start a small fleet with light load, and print live figures until Ctrl-C."`
 }
 
 func main() {
@@ -37,10 +38,11 @@
 	k.FatalIfErrorf(k.Run())
 }
 
+// count counts the logs of a fleet.
 type count struct {
-	Folder string        `arg:"" type:"existingdir" help:"Of the logs: one file NAME.log, or one folder with a file named log, a balancer."`
-	Warm   time.Duration `default:"22s" help:"For how long a desk host is cold after its start."`
-	JSON   bool          `name:"json" help:"JSON in place of tables."`
+	Folder string        `arg:"" type:"existingdir" help:"Folder of the logs: for each balancer one file NAME.log, or one folder with a file named log."`
+	Warm   time.Duration `default:"22s" help:"How long a desk host is cold after its start."`
+	JSON   bool          `name:"json" help:"Print JSON instead of tables."`
 }
 
 func (c count) Run(out io.Writer) error {
@@ -54,17 +56,19 @@
 	return counted.Print(out)
 }
 
-type binary struct {
-	Binary string `default:"bin/tealtiller" type:"path" help:"The balancer."`
-	Seed   uint64 `default:"1" help:"Of all chance."`
+// balancerFlags holds the flags of the commands that start balancers.
+type balancerFlags struct {
+	Binary string `default:"bin/tealtiller" type:"path" help:"Path of the balancer's binary."`
+	Seed   uint64 `default:"1" help:"Seed of all random draws."`
 }
 
+// run plays an experiment on sockets.
 type run struct {
-	File    string `arg:"" type:"path" help:"An experiment."`
-	Out     string `type:"path" help:"Where the result goes; standard output, if left out."`
-	NoCells bool   `help:"Leave the operator's file out."`
-	Folder  string `type:"path" help:"Where the balancers' logs and files stay; a folder that is removed, if left out."`
-	binary
+	File    string `arg:"" type:"path" help:"File of the experiment."`
+	Out     string `type:"path" help:"File for the result; standard output if not given."`
+	NoCells bool   `help:"Play without the cells of the operator's file."`
+	Folder  string `type:"path" help:"Folder for the balancers' logs and files; a temporary folder if not given."`
+	balancerFlags
 }
 
 func (c run) Run(out io.Writer) error {
@@ -79,13 +83,13 @@
 		}
 		defer os.RemoveAll(folder)
 	}
-	s, err := lab.NewSockets(exp, c.Seed, !c.NoCells, c.Binary, folder)
+	s, err := lab.NewSocketLab(exp, c.Seed, !c.NoCells, c.Binary, folder)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	outcome := s.Run()
-	s.Report()
+	s.PrintCounters()
 	text, err := json.MarshalIndent(outcome, "", "  ")
 	if err != nil {
 		return err
@@ -97,10 +101,11 @@
 	return err
 }
 
+// virtual plays an experiment in virtual time.
 type virtual struct {
-	File    string `arg:"" type:"path" help:"An experiment."`
-	Seed    uint64 `default:"1" help:"Of all chance."`
-	NoCells bool   `help:"Leave the cells out."`
+	File    string `arg:"" type:"path" help:"File of the experiment."`
+	Seed    uint64 `default:"1" help:"Seed of all random draws."`
+	NoCells bool   `help:"Play without cells."`
 }
 
 func (c virtual) Run(out io.Writer) error {
@@ -108,24 +113,25 @@
 	if err != nil {
 		return err
 	}
-	if err := exp.InVirtualTime(); err != nil {
+	if err := exp.CheckVirtual(); err != nil {
 		return err
 	}
-	harm := lab.NewVirtual(exp, c.Seed, !c.NoCells).Run()
-	harm.Busy = 0 // the same bytes for the same seed
+	harm := lab.NewVirtualLab(exp, c.Seed, !c.NoCells).Run()
+	harm.WallTime = 0 // so that the same seed gives the same bytes
 	return json.NewEncoder(out).Encode(harm)
 }
 
+// prove runs one proof.
 type prove struct {
-	What string `arg:"" enum:"drain,cells,move,size,placement,placement-size,placement-worth,failover" help:"One of ${enum}."`
-	Dir  string `default:"lab" type:"path" help:"Where the experiments are."`
-	Plot string `type:"path" help:"A folder for pictures."`
-	binary
+	What string `arg:"" enum:"drain,cells,move,size,placement,placement-size,placement-worth,failover" help:"The proof: one of ${enum}."`
+	Dir  string `default:"lab" type:"path" help:"Folder of the experiments."`
+	Plot string `type:"path" help:"Folder for the plots; none are drawn if not given."`
+	balancerFlags
 }
 
 func (c prove) Run(out io.Writer) error {
 	var v *lab.Verdict
-	var sized []lab.Sized
+	var comparisons []lab.FaultComparison
 	var err error
 	switch c.What {
 	case "cells":
@@ -137,13 +143,13 @@
 	case "drain":
 		v = lab.ProveDrain(c.Seed)
 	case "size":
-		v, sized, err = lab.ProveSize(c.Dir, c.Seed, runtime.NumCPU())
+		v, comparisons, err = lab.ProveSize(c.Dir, c.Seed, runtime.NumCPU())
 	case "placement":
 		v, err = lab.ProvePlacement(c.Seed)
 	case "placement-worth":
-		v, err = lab.ProveWorth(c.Dir, c.Seed, c.Binary)
+		v, err = lab.ProvePlacementWorth(c.Dir, c.Seed, c.Binary)
 	case "placement-size":
-		var all []lab.SizedPlan
+		var all []lab.SolverRun
 		v, all = lab.ProvePlacementSize(c.Seed)
 		if c.Plot != "" {
 			err = lab.PlotPlacement(filepath.Join(c.Plot, "placement-size.svg"), all)
@@ -152,25 +158,26 @@
 	if err != nil {
 		return err
 	}
-	if c.Plot != "" && sized != nil {
-		if err := lab.PlotSizes(filepath.Join(c.Plot, "cells-others.svg"), filepath.Join(c.Plot, "cells-stricken.svg"), sized); err != nil {
+	if c.Plot != "" && comparisons != nil {
+		if err := lab.PlotFaultHarm(filepath.Join(c.Plot, "cells-others.svg"), filepath.Join(c.Plot, "cells-stricken.svg"), comparisons); err != nil {
 			return err
 		}
 	}
 	if err := json.NewEncoder(out).Encode(v); err != nil {
 		return err
 	}
-	if len(v.Broken) > 0 {
+	if len(v.Violations) > 0 {
 		os.Exit(1)
 	}
 	return nil
 }
 
+// up runs a small fleet to try the balancer out.
 type up struct {
-	Every time.Duration `default:"2s" help:"How often the figures are shown."`
-	For   time.Duration `default:"24h" help:"End by itself after this."`
-	Plan  string        `type:"path" help:"An operator's file; none, if left out."`
-	binary
+	Every time.Duration `default:"2s" help:"Interval between figures."`
+	For   time.Duration `default:"24h" help:"Stop after this time."`
+	Plan  string        `type:"path" help:"An operator's file; none if not given."`
+	balancerFlags
 }
 
 func (c up) Run(out io.Writer) error {
@@ -183,14 +190,14 @@
 		return err
 	}
 	defer os.RemoveAll(folder)
-	s, err := lab.NewSockets(exp, c.Seed, c.Plan != "", c.Binary, folder)
+	s, err := lab.NewSocketLab(exp, c.Seed, c.Plan != "", c.Binary, folder)
 	if err != nil {
 		return err
 	}
 	defer s.Close()
 	clients, operators := s.Addresses(0)
-	fmt.Fprintf(out, "4 stand-in desk hosts, discovery and one balancer are up, with about 3 new clients a second.\n"+
-		"  clients connect to   %s\n  operators ask        http://%s/admin/stats\n  its log              %s\n\nPaste this to open a connection (Ctrl-C ends it):\n"+
+	fmt.Fprintf(out, "4 simulated desk hosts, discovery and one balancer are running, with about 3 new clients per second.\n"+
+		"  client address       %s\n  statistics           http://%s/admin/stats\n  log of the balancer  %s\n\nPaste this to open a connection (Ctrl-C ends it):\n"+
 		"  (echo 'OPEN me-1 5c0f c=lookup,t=dyfed-air,d=1200,g=5c0f'; cat) | nc %s\n\n", clients, operators,
 		filepath.Join(folder, "n0", "log"), strings.Replace(clients, ":", " ", 1))
 	signals := make(chan os.Signal, 1)
@@ -205,7 +212,7 @@
 	for {
 		select {
 		case <-signals:
-			fmt.Fprintln(out, "ending")
+			fmt.Fprintln(out, "stopping")
 			return nil
 		case <-ended:
 			return nil
@@ -219,7 +226,7 @@
 	}
 }
 
-// figures is the few of the second address that fit a line.
+// figures selects the few statistics of a balancer that fit on one line.
 func figures(text string) string {
 	var out []string
 	for _, line := range strings.Split(text, "\n") {
--- a/cmd/lab/site.go
+++ b/cmd/lab/site.go
@@ -9,10 +9,11 @@
 	"tealtiller/internal/sitegen"
 )
 
+// site generates a deployment.
 type site struct {
-	Seed  uint64 `required:"" help:"Of all chance; the same seed writes the same bytes."`
-	Out   string `default:"deploy/sites" type:"path" help:"Where the folder of the deployment goes."`
-	Words string `default:"deploy/sites/short-push" type:"existingdir" help:"Where the files of the protocol's words are; the folder gets links to them."`
+	Seed  uint64 `required:"" help:"Seed of all random draws; the same seed writes the same bytes."`
+	Out   string `default:"deploy/sites" type:"path" help:"Folder in which the folder of the deployment is made."`
+	Words string `default:"deploy/sites/short-push" type:"existingdir" help:"Folder of the files with the protocol's field names; the deployment's folder gets links to them."`
 }
 
 func (c site) Run(out io.Writer) error {
@@ -37,7 +38,7 @@
 	return err
 }
 
-// link makes a relative link, in place of one that is there.
+// link makes a relative link, and replaces one that exists.
 func link(target, path string) error {
 	relative, err := filepath.Rel(filepath.Dir(path), target)
 	if err != nil {
--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -13,18 +13,18 @@
 	"tealtiller/internal/lab/soak"
 )
 
-// soakCommand plays runs on real processes.
+// soakCommand plays runs on real processes and checks them.
 type soakCommand struct {
-	Seeds  int    `default:"1" help:"So many runs, from the seed on."`
-	At     int    `default:"4" help:"So many runs at a time."`
-	Kind   string `enum:"mixed,crossings" default:"mixed" help:"What is drawn: ${enum}; crossings has events meet that seldom do."`
-	Script string `type:"existingfile" help:"Play this script, as --folder keeps them, in place of drawn ones; --seeds says how often."`
-	Folder string `type:"path" help:"Keep the script, the logs and the record of each run that broke a rule here."`
-	Plant  string `enum:",longer_grace,late_calls,more_attempts,longer_window,early_kill,safe_classes" default:"" help:"Plant a fault, which the judge has to find: one of ${enum}."`
-	binary
+	Seeds  int    `default:"1" help:"Number of runs, one for each seed from --seed on."`
+	At     int    `default:"4" help:"Number of runs at a time."`
+	Kind   string `enum:"mixed,crossings" default:"mixed" help:"Kind of the scripts that are drawn: ${enum}; crossings lets events coincide that rarely do."`
+	Script string `type:"existingfile" help:"Play this script, as written to --folder, instead of drawn ones; --seeds is the number of times."`
+	Folder string `type:"path" help:"Folder for the script, the logs and the record of each run that broke a rule."`
+	Plant  string `enum:",longer_grace,late_calls,more_attempts,longer_window,early_kill,safe_classes" default:"" help:"Plant a fault that the check of the rules must find: one of ${enum}."`
+	balancerFlags
 }
 
-// soakFigures are the JSON line that comes last.
+// soakFigures are the figures of all runs, printed as the last line in JSON.
 type soakFigures struct {
 	Runs     int            `json:"runs"`
 	Broken   int            `json:"broken"`
@@ -34,12 +34,12 @@
 	Lines    int            `json:"lines"`
 	Answers  map[string]int `json:"answers"`
 	Rules    map[string]int `json:"rules"`
-	LateMS   int64          `json:"late_ms"` // the longest hold-up of a run's own clock
+	LateMS   int64          `json:"late_ms"` // longest scheduling delay of a run's own goroutines
 }
 
-// Run plays the runs and exits with 1 if a rule was broken.
+// Run plays the runs, and exits with code 1 if a rule was broken or a run failed.
 func (c soakCommand) Run(out io.Writer) error {
-	plant, err := c.plant()
+	plant, err := c.plantedFault()
 	if err != nil {
 		return err
 	}
@@ -68,7 +68,7 @@
 			defer mu.Unlock()
 			figures.add(out, seed, result, err)
 			if err == nil && len(result.Breaks) > 0 && c.Folder != "" {
-				if err := keep(filepath.Join(c.Folder, fmt.Sprint(seed)), run, script, result); err != nil {
+				if err := saveRun(filepath.Join(c.Folder, fmt.Sprint(seed)), run, script, result); err != nil {
 					fmt.Fprintln(out, err)
 				}
 			}
@@ -85,7 +85,7 @@
 	return nil
 }
 
-func (c soakCommand) plant() (soak.Plant, error) {
+func (c soakCommand) plantedFault() (soak.Plant, error) {
 	if c.Plant == "" {
 		return soak.Nothing, nil
 	}
@@ -94,10 +94,10 @@
 			return p, nil
 		}
 	}
-	return soak.Nothing, fmt.Errorf("no planted fault %q", c.Plant)
+	return soak.Nothing, fmt.Errorf("unknown planted fault %q", c.Plant)
 }
 
-// script is the one that the file has, or the one of a seed.
+// script reads the script of the file, if one is given, or draws the script of a seed.
 func (c soakCommand) script(seed uint64) (*soak.Script, error) {
 	switch {
 	case c.Script != "":
@@ -113,27 +113,27 @@
 	return soak.Parse(text)
 }
 
-// add tells what a run has shown, and counts it.
+// add prints the result of a run and counts it.
 func (f *soakFigures) add(out io.Writer, seed uint64, result *soak.Result, err error) {
 	f.Runs++
 	if err != nil {
 		f.Failed++
-		fmt.Fprintf(out, "seed %d: not played: %v\n", seed, err)
+		fmt.Fprintf(out, "seed %d: run failed: %v\n", seed, err)
 		return
 	}
 	f.Requests += result.Requests
 	f.Attempts += result.Attempts
 	f.Lines += result.Lines
 	f.LateMS = max(f.LateMS, result.Late.Milliseconds())
-	for _, word := range slices.Sorted(maps.Keys(result.Answers)) {
-		f.Answers[word] += result.Answers[word]
+	for _, answer := range slices.Sorted(maps.Keys(result.Answers)) {
+		f.Answers[answer] += result.Answers[answer]
 	}
 	verdict := "no rule broken"
 	if len(result.Breaks) > 0 {
 		f.Broken++
 		verdict = fmt.Sprintf("%d BROKEN", len(result.Breaks))
 	}
-	fmt.Fprintf(out, "seed %d: %s; %d requests, %d attempts, %d lines, clock late by %v at the most\n",
+	fmt.Fprintf(out, "seed %d: %s; %d requests, %d attempts, %d lines, own scheduling delay at most %v\n",
 		seed, verdict, result.Requests, result.Attempts, result.Lines, result.Late)
 	for _, b := range result.Breaks {
 		f.Rules[b.Rule]++
@@ -141,8 +141,8 @@
 	}
 }
 
-// keep keeps the script, the record and the logs of a run.
-func keep(folder, run string, script *soak.Script, result *soak.Result) error {
+// saveRun writes the script, the record and the logs of a run to a folder.
+func saveRun(folder, run string, script *soak.Script, result *soak.Result) error {
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
--- a/internal/lab/audit.go
+++ b/internal/lab/audit.go
@@ -6,54 +6,61 @@
 	"tealtiller/internal/cells"
 )
 
-// audit counts what was seen from outside.
-type audit struct {
+// auditor counts what the simulated hosts and clients observe of the balancers, and checks it against the protocol's
+// rules. All its fields are guarded by the lab's lock.
+type auditor struct {
 	Outcome
-	next     int
-	crashed  int
-	out      map[string]*int // the attempt that is out, by the client's id
-	attempts map[string]int
-	lastAt   map[string]string // the host of the last attempt
-	broken   map[string]bool   // mid-flow, and reset by a host that did not hold it
-	both     map[uint64]*joint
-	held     map[uint64]map[string]int // connections of each flight, by host
-	worst    time.Duration             // that a flight of a moving carrier stood in both cells
-	lastMove time.Time
-	atStart  int // of the moving carrier's connections, how many stood when the move began
+	requestCount      int
+	crashed           int
+	inFlight          map[string]*int // the attempt in flight, by request id; 1 once it has ended
+	attempts          map[string]int
+	lastHost          map[string]string // host of the last attempt, by request id
+	resetMidFlow      map[string]bool   // ids of mid-flow OPENs reset by a host that did not hold the connection
+	movingFlights     map[uint64]*movingFlight
+	flightConnections map[uint64]map[string]int // number of connections, by flight and host
+	longestInBoth     time.Duration             // longest time that a flight of a moving carrier had connections in both cells
+	lastMove          time.Time
+	atMoveStart       int // established connections of the moving carrier when the move began
 }
 
-func newAudit() *audit {
-	return &audit{Outcome: Outcome{Cells: map[string]*Group{}, Carriers: map[string]*Group{}}, out: map[string]*int{},
-		attempts: map[string]int{}, lastAt: map[string]string{}, broken: map[string]bool{}, both: map[uint64]*joint{}, held: map[uint64]map[string]int{}}
+func newAuditor() *auditor {
+	return &auditor{
+		Outcome:  Outcome{Cells: map[string]*Group{}, Carriers: map[string]*Group{}},
+		inFlight: map[string]*int{}, attempts: map[string]int{},
+		lastHost: map[string]string{}, resetMidFlow: map[string]bool{},
+		movingFlights: map[uint64]*movingFlight{}, flightConnections: map[uint64]map[string]int{},
+	}
 }
 
-// How long the auditor allows for what is on its way: the end of an attempt that another one follows, and the news that a
-// desk host drains.
+// Allowances for events that are still in transit: the end of an attempt that another attempt follows, and the notice
+// that a desk host drains.
 const (
-	endOnItsWay   = 50 * time.Millisecond
-	drainOnItsWay = 350 * time.Millisecond
+	attemptEndAllowance  = 50 * time.Millisecond
+	drainNoticeAllowance = 350 * time.Millisecond
 )
 
-// attempt is called as its last byte has come, under the lab's lock.
-func (a *audit) attempt(s *Sockets, h *standIn, id, carrier string, group uint64, mid bool) (attempt *int) {
-	if earlier := a.out[id]; earlier != nil {
-		a.follows(s, earlier)
+// attemptReceived records an attempt; it is called when the last byte of the OPEN line has arrived, with the lab's lock
+// held. The result is set to 1 when the attempt ends.
+func (a *auditor) attemptReceived(s *SocketLab, h *simulatedHost, id, carrier string, group uint64, midFlow bool) (attempt *int) {
+	if earlier := a.inFlight[id]; earlier != nil {
+		a.checkOverlap(s, earlier)
 	}
 	attempt = new(int)
-	a.out[id] = attempt
+	a.inFlight[id] = attempt
 	a.attempts[id]++
-	a.MostAttempts = max(a.MostAttempts, a.attempts[id])
-	a.lastAt[id] = h.ID
-	if !mid {
-		a.newAttempt(s, h, id, carrier, group)
+	a.MaxAttempts = max(a.MaxAttempts, a.attempts[id])
+	a.lastHost[id] = h.ID
+	if !midFlow {
+		a.checkNewAttempt(s, h, id, carrier, group)
 	}
 	return attempt
 }
 
-// follows takes that an attempt comes while an earlier one is out, whose end may be on the way: one connection's bytes do
-// not wait for another's.
-func (a *audit) follows(s *Sockets, earlier *int) {
-	time.AfterFunc(endOnItsWay, func() {
+// checkOverlap counts two attempts in flight if the earlier one has not ended within the allowance. The allowance is
+// needed because the end of an attempt and the next attempt arrive on different connections, whose bytes are not
+// ordered.
+func (a *auditor) checkOverlap(s *SocketLab, earlier *int) {
+	time.AfterFunc(attemptEndAllowance, func() {
 		s.mu.Lock()
 		defer s.mu.Unlock()
 		if *earlier == 0 {
@@ -62,47 +69,48 @@
 	})
 }
 
-// newAttempt judges where an attempt was sent that goes on with nothing.
-func (a *audit) newAttempt(s *Sockets, h *standIn, id, carrier string, group uint64) {
-	if s.plan != nil && !belongs(s.plan, s.now(), carrier, group, s.cellOf[h.ID]) {
+// checkNewAttempt checks the target of an attempt that does not resume an established connection: its cell, its room
+// and whether the balancer had been notified that the host drains.
+func (a *auditor) checkNewAttempt(s *SocketLab, h *simulatedHost, id, carrier string, group uint64) {
+	if s.plan != nil && !mayServe(s.plan, s.now(), carrier, group, s.cellOf[h.ID]) {
 		a.Foreign++
 	}
-	from := s.sender(id)
-	if from == nil {
+	balancer := s.balancerOf(id)
+	if balancer == nil {
 		return
 	}
 	switch {
 	case s.darkRoom == "":
 		a.Sent++
-		a.Near += b2i(h.Room == from.room)
+		a.Near += boolToInt(h.Room == balancer.room)
 	case h.Room == s.darkRoom:
-		s.lastDark[from] = time.Since(s.darkAt)
+		s.lastDarkAttempt[balancer] = time.Since(s.darkAt)
 	}
-	if told := from.told[h.ID]; !told.IsZero() && time.Since(told) > drainOnItsWay {
+	if notifiedAt := balancer.drainNotices[h.ID]; !notifiedAt.IsZero() && time.Since(notifiedAt) > drainNoticeAllowance {
 		a.LateDrains++
 	}
 }
 
-// sender is the balancer that a client came through.
-func (s *Sockets) sender(id string) *node {
-	for c := range s.live {
+// balancerOf returns the balancer that a client is connected through, nil if the client is gone.
+func (s *SocketLab) balancerOf(id string) *balancerProcess {
+	for c := range s.liveClients {
 		if c.id == id {
-			return c.node
+			return c.balancer
 		}
 	}
 	return nil
 }
 
-func b2i(b bool) int {
+func boolToInt(b bool) int {
 	if b {
 		return 1
 	}
 	return 0
 }
 
-// belongs tells whether a flight may be sent to a cell now: its own by the plan, give or take the difference of the
-// clocks and the time on the way, or one that its own overflows to.
-func belongs(p *cells.Plan, now time.Duration, carrier string, group uint64, cell string) bool {
+// mayServe reports whether a flight may be sent to a cell now: its home cell by the plan or the cell that its home
+// overflows to. The plan is read at three moments, to allow for the difference of the clocks and the time in transit.
+func mayServe(p *cells.Plan, now time.Duration, carrier string, group uint64, cell string) bool {
 	for _, skew := range []time.Duration{0, -1500 * time.Millisecond, 250 * time.Millisecond} {
 		home := p.HomeCell(now+skew, carrier, group)
 		if home == cell {
@@ -117,21 +125,21 @@
 	return false
 }
 
-// attemptEnds notes that an attempt was answered, or that the balancer has closed its connection.
-func (a *audit) attemptEnds(id string, attempt *int) {
-	if *attempt = 1; a.out[id] == attempt {
-		delete(a.out, id)
+// attemptEnded records that an attempt was answered or that the balancer has closed its connection.
+func (a *auditor) attemptEnded(id string, attempt *int) {
+	if *attempt = 1; a.inFlight[id] == attempt {
+		delete(a.inFlight, id)
 	}
 }
 
-// outcome is what was seen in all.
-func (a *audit) outcome(s *Sockets) Outcome {
+// outcome completes the counts and returns them.
+func (a *auditor) outcome(s *SocketLab) Outcome {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.Crashed = a.crashed
 	for _, h := range s.hosts {
-		if h.Fallen {
-			a.Fallen++
+		if h.OverloadFailed {
+			a.OverloadFailures++
 		}
 	}
 	return a.Outcome
--- a/internal/lab/audit_clients.go
+++ b/internal/lab/audit_clients.go
@@ -6,55 +6,56 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// groups are those that a client counts among, its cell's and its carrier's; the hot key's own clients count in none.
-func (a *audit) groups(c *client) []*Group {
+// groupsOf returns the groups that a client counts in: its cell's and its carrier's. The clients of a hot key count in
+// none.
+func (a *auditor) groupsOf(c *client) []*Group {
 	cell := "all"
-	if p := c.lab.exp.Plan; p != nil {
+	if p := c.lab.exp.CellPlan; p != nil {
 		cell = p.HomeCell(0, c.carrier, c.group)
 	}
-	both := []*Group{groupOf(a.Cells, cell), groupOf(a.Carriers, c.carrier)}
-	if c.extra {
+	counted := []*Group{groupFor(a.Cells, cell), groupFor(a.Carriers, c.carrier)}
+	if c.uncounted {
 		return nil
 	}
-	return both
+	return counted
 }
 
-// groupOf finds or makes a group.
-func groupOf(groups map[string]*Group, name string) *Group {
+// groupFor finds or makes a group.
+func groupFor(groups map[string]*Group, name string) *Group {
 	if groups[name] == nil {
 		groups[name] = newGroup()
 	}
 	return groups[name]
 }
 
-// opened notes that a client has sent its OPEN.
-func (a *audit) opened(c *client) {
+// requestSent records that a client has sent its OPEN.
+func (a *auditor) requestSent(c *client) {
 	c.lab.mu.Lock()
 	defer c.lab.mu.Unlock()
 	a.Opens++
-	for _, g := range a.groups(c) {
+	for _, g := range a.groupsOf(c) {
 		g.Opens++
 	}
 }
 
-// settled tells that times are counted by now.
-func (a *audit) settled(c *client) bool {
-	return time.Since(c.lab.began) > span(c.lab.exp.Settle)
+// isMeasuring reports whether the settling time is over, so that durations are recorded.
+func (a *auditor) isMeasuring(c *client) bool {
+	return time.Since(c.lab.began) > parsedDuration(c.lab.exp.Settle)
 }
 
-// final notes the answer to an OPEN, "none" where it did not come in time.
-func (a *audit) final(c *client, kind string, took time.Duration, mid bool) {
+// finalAnswer records the answer to an OPEN; kind is "none" if it did not arrive in time.
+func (a *auditor) finalAnswer(c *client, kind string, took time.Duration, midFlow bool) {
 	c.lab.mu.Lock()
 	defer c.lab.mu.Unlock()
 	delete(a.attempts, c.id)
-	groups := a.groups(c)
+	groups := a.groupsOf(c)
 	switch kind {
 	case "UP":
 		a.Served++
 		for _, g := range groups {
 			g.Served++
-			if a.settled(c) && !mid {
-				record(g.setups, took)
+			if a.isMeasuring(c) && !midFlow {
+				recordDuration(g.setupTimes, took)
 			}
 		}
 	case "BUSY":
@@ -72,42 +73,42 @@
 	}
 }
 
-// record counts a time; what is out of the histogram's range is left out.
-func record(times *hdrhistogram.Histogram, took time.Duration) {
+// recordDuration adds a duration to a histogram; a value beyond the histogram's range is dropped.
+func recordDuration(times *hdrhistogram.Histogram, took time.Duration) {
 	_ = times.RecordValue(max(took.Microseconds(), 1))
 }
 
-// second notes a second answer to one OPEN.
-func (a *audit) second(s *Sockets) {
+// secondAnswer records a second answer to one OPEN.
+func (a *auditor) secondAnswer(s *SocketLab) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	a.Doubled++
 }
 
-// messageAims are how long a line may take, by class.
-var messageAims = map[string]time.Duration{"lookup": 250 * time.Millisecond, "seat-set": messageAim}
+// messageTargets are the target times for the answer to a line, by class.
+var messageTargets = map[string]time.Duration{"lookup": 250 * time.Millisecond, "seat-set": messageTarget}
 
-// line notes how long a line took.
-func (a *audit) line(c *client, took time.Duration) {
+// lineAnswered records how long the answer to a line took.
+func (a *auditor) lineAnswered(c *client, took time.Duration) {
 	c.lab.mu.Lock()
 	defer c.lab.mu.Unlock()
-	if !a.settled(c) {
+	if !a.isMeasuring(c) {
 		return
 	}
-	a.Worth.Asked += worthOf(c.class)
-	if took <= messageAims[c.class] {
-		a.Worth.Well += worthOf(c.class)
+	a.Worth.Asked += classWorth(c.class)
+	if took <= messageTargets[c.class] {
+		a.Worth.ServedWell += classWorth(c.class)
 	}
-	for _, g := range a.groups(c) {
-		record(g.lines, took)
+	for _, g := range a.groupsOf(c) {
+		recordDuration(g.lineTimes, took)
 	}
 }
 
-// cutOff counts a connection that ended without MOVE while its desk host still held it.
-func (a *audit) cutOff(c *client) {
+// connectionCutOff counts a connection that ended without MOVE while its desk host still held it.
+func (a *auditor) connectionCutOff(c *client) {
 	c.lab.mu.Lock()
 	defer c.lab.mu.Unlock()
-	if h := c.lab.hosts[a.lastAt[c.id]]; h != nil && h.Up && h.held[c.id] != nil {
+	if h := c.lab.hosts[a.lastHost[c.id]]; h != nil && h.Up && h.held[c.id] != nil {
 		a.Cut++
 	}
 }
--- a/internal/lab/churn.go
+++ b/internal/lab/churn.go
@@ -11,89 +11,90 @@
 	"tealtiller/policy"
 )
 
-// Churn plays comings and goings on the dealing alone: a part of the hosts is replaced by others, one at a time. It
-// tells how many of those that stay changed their cell, how many had to by the quotas alone, and how many a plain
-// rendezvous without quotas would have left uneven: the largest cell over the mean.
-func Churn(exp *Experiment, seed uint64, part float64) (changes, moved, least int, plainWorst float64) {
+// Churn replaces a share of the hosts one at a time and assigns the hosts to cells after each change, without any
+// traffic. It returns the number of changes, how many of the remaining hosts changed their cell, how many had to by the
+// quotas alone, and the unevenness of a rendezvous hash without quotas: the largest cell over the mean.
+func Churn(exp *Experiment, seed uint64, share float64) (changes, moved, required int, unevenness float64) {
 	c := newChurn(exp, seed)
-	for range int(part * float64(len(c.list))) {
+	for range int(share * float64(len(c.hosts))) {
 		c.replaceOne()
 	}
-	return c.changes, c.moved, c.least, c.plainWorst()
+	return c.changes, c.moved, c.required, c.unevennessWithoutQuotas()
 }
 
-// churn is a list of hosts that changes, and what its changes did to the cells.
+// churn is a changing list of hosts and the counts of what its changes did to the cells.
 type churn struct {
-	plan                  *cells.Plan
-	rng                   *rand.Rand
-	list                  []policy.Server
-	dealt                 map[string]string
-	changes, moved, least int
+	plan                     *cells.Plan
+	rng                      *rand.Rand
+	hosts                    []policy.Server
+	assigned                 map[string]string
+	changes, moved, required int
 }
 
 func newChurn(exp *Experiment, seed uint64) *churn {
-	c := &churn{plan: exp.Plan, rng: rand.New(rand.NewPCG(seed, 3))}
-	v := &Virtual{exp: exp, machines: map[string]*virtualHost{}}
+	c := &churn{plan: exp.CellPlan, rng: rand.New(rand.NewPCG(seed, 3))}
+	v := &VirtualLab{exp: exp, hosts: map[string]*virtualHost{}}
 	for _, s := range exp.Fleet(seed) {
-		v.machines[s.ID] = &virtualHost{Machine: NewMachine(s, time.Second)}
-		c.list = append(c.list, v.server(s, policy.Ready))
+		v.hosts[s.ID] = &virtualHost{Machine: NewMachine(s, time.Second)}
+		c.hosts = append(c.hosts, v.listedServer(s, policy.Ready))
 	}
-	c.dealt = c.plan.AssignHosts(c.list)
+	c.assigned = c.plan.AssignHosts(c.hosts)
 	return c
 }
 
-// replaceOne takes a host away, then adds another one, alike but for its name.
+// replaceOne removes a random host, then adds a copy of another one under a new name.
 func (c *churn) replaceOne() {
-	i := c.rng.IntN(len(c.list))
-	c.list = slices.Delete(c.list, i, i+1)
-	c.deal()
-	fresh := c.list[c.rng.IntN(len(c.list))]
-	fresh.ID = fmt.Sprintf("s-%08x", c.rng.Uint32())
-	c.list = append(c.list, fresh)
-	c.deal()
+	i := c.rng.IntN(len(c.hosts))
+	c.hosts = slices.Delete(c.hosts, i, i+1)
+	c.assign()
+	added := c.hosts[c.rng.IntN(len(c.hosts))]
+	added.ID = fmt.Sprintf("s-%08x", c.rng.Uint32())
+	c.hosts = append(c.hosts, added)
+	c.assign()
 }
 
-// deal deals the hosts anew, and counts who changed its cell.
-func (c *churn) deal() {
+// assign assigns the hosts anew and counts those that changed their cell.
+func (c *churn) assign() {
 	c.changes++
-	after := c.plan.AssignHosts(c.list)
-	kept := map[string]int{} // hosts that were in a cell and still exist
+	after := c.plan.AssignHosts(c.hosts)
+	staying := map[string]int{} // hosts that were in a cell and are still listed, by cell
 	for id, cell := range after {
-		was, stayed := c.dealt[id]
+		was, stayed := c.assigned[id]
 		if !stayed {
 			continue
 		}
-		kept[was]++
+		staying[was]++
 		if was != cell {
 			c.moved++
 		}
 	}
-	size := sizes(after)
-	for cell, n := range kept {
-		c.least += max(n-size[cell], 0)
+	size := cellSizes(after)
+	for cell, n := range staying {
+		c.required += max(n-size[cell], 0)
 	}
-	c.dealt = after
+	c.assigned = after
 }
 
-// plainWorst is the largest cell over the mean, were the hosts dealt without quotas.
-func (c *churn) plainWorst() float64 {
+// unevennessWithoutQuotas is the size of the largest cell over the mean if each host went to the cell of its lowest
+// cost.
+func (c *churn) unevennessWithoutQuotas() float64 {
 	count := map[string]int{}
-	for _, s := range c.list {
+	for _, s := range c.hosts {
 		cheapest := slices.MinFunc(c.plan.Cells, func(a, b cells.Cell) int {
 			return cmp.Compare(cells.AssignmentCost(s.ID, a), cells.AssignmentCost(s.ID, b))
 		})
 		count[cheapest.Name]++
 	}
-	most := 0
+	largest := 0
 	for _, n := range count {
-		most = max(most, n)
+		largest = max(largest, n)
 	}
-	return float64(most) * float64(len(c.plan.Cells)) / float64(len(c.list))
+	return float64(largest) * float64(len(c.plan.Cells)) / float64(len(c.hosts))
 }
 
-func sizes(dealt map[string]string) map[string]int {
+func cellSizes(assigned map[string]string) map[string]int {
 	out := map[string]int{}
-	for _, cell := range dealt {
+	for _, cell := range assigned {
 		out[cell]++
 	}
 	return out
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -12,172 +12,174 @@
 	"time"
 )
 
-// client is one passenger's desk: it opens a connection, sends a line every so often (2 s, if not told), and comes again
-// when it is refused, moved or cut off.
+// client is one simulated client: it opens a connection, sends a line at each pause of the experiment (2 s by default),
+// and reconnects when it is refused, moved or cut off.
 type client struct {
 	arrival
-	lab      *Sockets
-	rng      *rand.Rand
-	id       string
-	conn     net.Conn
-	node     *node
-	returned bool
-	mid      bool // goes on through another balancer
-	tries    int
-	moves    int // to follow its flight
-	dropped  bool
-	upAt     time.Time
-	left     time.Duration
-	host     string // where it stands
+	lab       *SocketLab
+	rng       *rand.Rand
+	id        string
+	conn      net.Conn
+	balancer  *balancerProcess
+	returned  bool
+	midFlow   bool // the next try resumes the established connection through another balancer
+	retries   int
+	planMoves int // moves to another cell that its flight has moved to
+	dropped   bool
+	upAt      time.Time
+	remaining time.Duration
+	host      string // desk host of the established connection
 }
 
-// answerMargin is how much longer than its patience a client reads, for the way of the answer.
+// answerMargin is how much longer than the answer timeout a client reads, to allow for the transit of the answer.
 const answerMargin = 50 * time.Millisecond
 
-// client plays one client from its arrival to its end.
-func (s *Sockets) client(a arrival) {
-	defer s.clients.Done()
+// runClient plays one client from its arrival to its end.
+func (s *SocketLab) runClient(a arrival) {
+	defer s.tasks.Done()
 	s.mu.Lock()
-	c := &client{arrival: a, lab: s, left: a.life, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 1))}
-	s.live[c] = true
+	c := &client{arrival: a, lab: s, remaining: a.life, rng: rand.New(rand.NewPCG(s.rng.Uint64(), 1))}
+	s.liveClients[c] = true
 	s.mu.Unlock()
 	defer func() {
 		s.mu.Lock()
-		delete(s.live, c)
+		delete(s.liveClients, c)
 		s.mu.Unlock()
 	}()
-	for s.ctx.Err() == nil && c.left > 0 {
-		again, after := c.try()
-		if !again || !s.sleep(after) {
+	for s.ctx.Err() == nil && c.remaining > 0 {
+		reconnect, after := c.runTry()
+		if !reconnect || !s.sleep(after) {
 			return
 		}
 	}
 }
 
-// drop has the client drop its connection and come again; the lab's lock is held.
-func (c *client) drop() {
+// dropConnection closes the client's connection so that it reconnects; the lab's lock is held.
+func (c *client) dropConnection() {
 	c.dropped = true
 	if c.conn != nil {
 		_ = c.conn.Close()
 	}
 }
 
-// pick is the front's choice of a balancer; of one that is down only what stands is carried on.
-func (c *client) pick() *node {
+// pickBalancer plays the front, which chooses a balancer at random among those that are up, in the client's room if one
+// is up there.
+func (c *client) pickBalancer() *balancerProcess {
 	c.lab.mu.Lock()
 	defer c.lab.mu.Unlock()
 	for {
-		n := c.lab.nodes[c.rng.IntN(len(c.lab.nodes))]
-		room := c.lab.exp.room(&c.arrival)
-		at := func(n *node) bool { return !n.down && n.room == room }
-		if !n.down && (room == "" || n.room == room || !slices.ContainsFunc(c.lab.nodes, at)) {
+		n := c.lab.balancers[c.rng.IntN(len(c.lab.balancers))]
+		room := c.lab.exp.clientRoom(&c.arrival)
+		upInRoom := func(n *balancerProcess) bool { return !n.down && n.room == room }
+		if !n.down && (room == "" || n.room == room || !slices.ContainsFunc(c.lab.balancers, upInRoom)) {
 			return n
 		}
 	}
 }
 
-// try opens one connection and stays on it to its end.
-func (c *client) try() (again bool, after time.Duration) {
-	c.prepare()
-	conn, err := net.DialTimeout("tcp", c.node.listen, patience)
+// runTry opens one connection and uses it until it ends.
+func (c *client) runTry() (reconnect bool, after time.Duration) {
+	c.prepareTry()
+	conn, err := net.DialTimeout("tcp", c.balancer.listen, answerTimeout)
 	if err != nil {
-		return true, c.gap() // the front would not have chosen it
+		return true, c.retryPause() // a real front would not have chosen this balancer
 	}
 	defer conn.Close()
-	text := c.opening(conn)
+	text := c.beginOpen(conn)
 	began := time.Now()
 	if _, err := io.WriteString(conn, text); err != nil {
-		return true, c.gap()
+		return true, c.retryPause()
 	}
-	if !c.mid {
-		c.lab.audit.opened(c)
+	if !c.midFlow {
+		c.lab.auditor.requestSent(c)
 	}
-	mid := c.mid
-	c.mid = false
-	_ = conn.SetReadDeadline(began.Add(patience + answerMargin))
+	midFlow := c.midFlow
+	c.midFlow = false
+	_ = conn.SetReadDeadline(began.Add(answerTimeout + answerMargin))
 	r := bufio.NewReader(conn)
 	answer, err := r.ReadString('\n')
 	took := time.Since(began)
 	if err != nil || c.lab.ctx.Err() != nil || c.wasDropped() {
-		return c.unanswered(began, took, mid)
+		return c.handleUnanswered(began, took, midFlow)
 	}
-	return c.answered(conn, r, answer, took, mid)
+	return c.handleAnswer(conn, r, answer, took, midFlow)
 }
 
-// prepare names the try, unless it goes on with what stands, and has the front choose a balancer.
-func (c *client) prepare() {
+// prepareTry gives the try a new id, unless it resumes an established connection, and picks a balancer.
+func (c *client) prepareTry() {
 	s := c.lab
-	if !c.mid {
+	if !c.midFlow {
 		s.mu.Lock()
-		s.audit.next++
-		c.id = fmt.Sprintf("c%d", s.audit.next)
+		s.auditor.requestCount++
+		c.id = fmt.Sprintf("c%d", s.auditor.requestCount)
 		s.mu.Unlock()
 	}
-	c.node = c.pick()
+	c.balancer = c.pickBalancer()
 }
 
-// opening notes the client's new connection, and is the line that it opens with.
-func (c *client) opening(conn net.Conn) string {
+// beginOpen records the client's new connection and returns the OPEN line to send on it.
+func (c *client) beginOpen(conn net.Conn) string {
 	s := c.lab
 	s.mu.Lock()
 	c.conn, c.dropped = conn, false
-	weight := max(s.weight[c.carrier], 1)
+	loadFactor := max(s.loadFactors[c.carrier], 1)
 	s.mu.Unlock()
 	extra := ""
 	if c.returned {
 		extra = ",again=1"
 	}
-	if c.mid {
+	if c.midFlow {
 		extra = ",mid=1"
 	}
 	return fmt.Sprintf("OPEN %s %x c=%s,t=%s,d=%d,g=%x,h=%.3f%s\r\n",
-		c.id, c.key, c.class, c.carrier, patience.Milliseconds(), c.group, c.load*weight, extra)
+		c.id, c.key, c.class, c.carrier, answerTimeout.Milliseconds(), c.group, c.load*loadFactor, extra)
 }
 
-// unanswered takes that a try has no answer, or one that nobody reads.
-func (c *client) unanswered(began time.Time, took time.Duration, mid bool) (again bool, after time.Duration) {
+// handleUnanswered handles a try that got no answer, or whose answer no longer matters because the client or the
+// experiment has ended it.
+func (c *client) handleUnanswered(began time.Time, took time.Duration, midFlow bool) (reconnect bool, after time.Duration) {
 	s := c.lab
 	switch {
 	case s.ctx.Err() != nil || c.wasDropped():
-		return c.left > 0, c.gap()
-	case c.nodeIsDown() || c.thawedSince(began):
+		return c.remaining > 0, c.retryPause()
+	case c.balancerUnavailable() || c.resumedSince(began):
 		s.mu.Lock()
-		s.audit.Again++
+		s.auditor.Reopened++
 		s.mu.Unlock()
-		return true, c.gap() // a killed or frozen balancer's clients come again
+		return true, c.retryPause() // clients of a killed or frozen balancer reconnect; this is no lost answer
 	default:
-		s.audit.final(c, "none", took, mid)
+		s.auditor.finalAnswer(c, "none", took, midFlow)
 		return c.retry()
 	}
 }
 
-// answered takes the answer to a try.
-func (c *client) answered(conn net.Conn, r *bufio.Reader, answer string, took time.Duration, mid bool) (again bool, after time.Duration) {
+// handleAnswer handles the answer to a try.
+func (c *client) handleAnswer(conn net.Conn, r *bufio.Reader, answer string, took time.Duration, midFlow bool) (reconnect bool, after time.Duration) {
 	s := c.lab
 	kind, rest, _ := strings.Cut(strings.TrimSpace(answer), " ")
-	s.audit.final(c, kind, took, mid)
+	s.auditor.finalAnswer(c, kind, took, midFlow)
 	if kind == "UP" {
-		return c.stand(conn, r)
+		return c.exchangeLines(conn, r)
 	}
 	if second, err := r.ReadString('\n'); err == nil && second != "" {
-		s.audit.second(s)
+		s.auditor.secondAnswer(s)
 	}
-	again, after = c.retry()
+	reconnect, after = c.retry()
 	if ms, err := strconv.Atoi(rest); kind == "BUSY" && err == nil {
-		after = min(time.Duration(ms)*time.Millisecond, longestBack)
+		after = min(time.Duration(ms)*time.Millisecond, maxRetryAfter)
 	}
-	return again, after
+	return reconnect, after
 }
 
-// retry has the client come again, twice at the most in a row.
+// retry reports whether the client tries again, which it does at most twice in a row, and after which pause.
 func (c *client) retry() (bool, time.Duration) {
-	c.tries++
-	return c.tries <= mostRetries, c.gap()
+	c.retries++
+	return c.retries <= maxRetries, c.retryPause()
 }
 
-// gap is a client's pause before it comes again.
-func (c *client) gap() time.Duration {
-	return time.Duration(leastGap+c.rng.IntN(moreGap)) * time.Millisecond
+// retryPause draws a client's pause before it reconnects.
+func (c *client) retryPause() time.Duration {
+	return time.Duration(minRetryPauseMS+c.rng.IntN(retryPauseRangeMS)) * time.Millisecond
 }
 
 func (c *client) wasDropped() bool {
@@ -186,15 +188,15 @@
 	return c.dropped
 }
 
-func (c *client) nodeIsDown() bool {
+func (c *client) balancerUnavailable() bool {
 	c.lab.mu.Lock()
 	defer c.lab.mu.Unlock()
-	return c.node.down || c.node.frozen
+	return c.balancer.down || c.balancer.frozen
 }
 
-// thawedSince tells whether the client's balancer woke from a freeze after a moment.
-func (c *client) thawedSince(at time.Time) bool {
+// resumedSince reports whether the client's balancer was resumed from a freeze after a moment.
+func (c *client) resumedSince(at time.Time) bool {
 	c.lab.mu.Lock()
 	defer c.lab.mu.Unlock()
-	return c.node.thawed.After(at)
+	return c.balancer.resumedAt.After(at)
 }
--- a/internal/lab/count.go
+++ b/internal/lab/count.go
@@ -7,41 +7,43 @@
 	"time"
 )
 
-// Count is what a fleet's logs tell when all balancers are taken together, by second from the first line. What each does
-// may look right by itself; only the sum shows what all of them do to a desk host or to discovery.
+// Count holds figures from the logs of all balancers of a fleet taken together, by second from the first line. What
+// each balancer does may look right by itself; only the sum shows what all of them do to a desk host or to discovery.
 type Count struct {
 	Balancers int              `json:"balancers"`
 	Lines     int              `json:"lines"`
-	Unread    int              `json:"unread"` // lines that are no log line, a crash's for instance
+	Unparsed  int              `json:"unread"` // lines that are not log lines, such as a crash's stack trace
 	Seconds   int              `json:"seconds"`
 	Events    map[string][]int `json:"events"`
 	Fleet     FleetFigures     `json:"fleet"`
 
-	// By host: questions, attempts written, those to a cold one, connections that stand at the second's end,
-	// those that it dropped, and the load that its reports told, in hundredths of what it can do (-1: none came).
+	// By host and figure: probes ("questions"), attempts written ("steps"), those written while the host was cold
+	// ("cold steps"), established connections at the end of the second ("standing"), connections that the host dropped
+	// ("dropped"), and the mean load in its reports in hundredths of its capacity ("load"; -1 without a report).
 	Hosts map[string]map[string][]int `json:"hosts"`
 
-	Knew       map[int64]Spread  `json:"knew"`        // a revision of the list: from the first balancer to the last
-	PassedOver map[string]Spread `json:"passed_over"` // the same of a desk host's first doubt
+	Revisions  map[int64]Spread  `json:"knew"`        // when balancers first received a revision of the host list
+	PassedOver map[string]Spread `json:"passed_over"` // when balancers first passed over a desk host
 }
 
-// FleetFigures are, by second, what only the whole fleet shows. All but Herd are as of the second's end.
+// FleetFigures are figures by second that only the whole fleet shows. All but Herd are values at the end of the second.
 type FleetFigures struct {
-	Connections []int `json:"connections"` // that stand
-	Groups      []int `json:"groups"`      // that hold a standing connection
-	Pieces      []int `json:"pieces"`      // pairs of a group and a desk host that hold a standing connection
-	Variation   []int `json:"variation"`   // coefficient of variation of connections over desk hosts, in hundredths (-1: no connection)
-	Herd        []int `json:"herd"`        // the most balancers that wrote an attempt to one host in one 100 ms
+	Connections []int `json:"connections"` // established
+	Groups      []int `json:"groups"`      // groups with an established connection
+	Pieces      []int `json:"pieces"`      // pairs of a group and a desk host with an established connection
+	Variation   []int `json:"variation"`   // coefficient of variation of connections over desk hosts, in hundredths (-1 without connections)
+	Herd        []int `json:"herd"`        // largest number of balancers that wrote an attempt to one host within one herdWindow
 }
 
-// Spread is when the first and the last of some balancers came to know a thing.
+// Spread is when the first and the last of the balancers learned of something, in seconds from the first line, and how
+// many did.
 type Spread struct {
 	First     float64 `json:"first"`
 	Last      float64 `json:"last"`
 	Balancers int     `json:"balancers"`
 }
 
-// add notes that one more balancer came to know it.
+// add counts one more balancer, which learned of it at the given time.
 func (s Spread) add(at float64) Spread {
 	if s.Balancers == 0 {
 		s.First = at
@@ -51,11 +53,12 @@
 	return s
 }
 
-// hostFigures are the figures of desk hosts, in the order in which they are printed.
+// hostFigures are the names of the figures by desk host, in the order in which they are printed.
 var hostFigures = []string{"questions", "steps", "cold steps", "standing", "dropped", "load"}
 
-// CountLogs counts the logs of a folder, one file a balancer, or one named log in a folder of its own each, written at
-// the debug level. A desk host is cold for so long after its start.
+// CountLogs counts the logs of a folder, which were written at the debug level: one file NAME.log for each balancer, or
+// one file named log in a folder for each balancer. A desk host counts as cold until warmAfter has passed since its
+// start.
 func CountLogs(folder string, warmAfter time.Duration) (*Count, error) {
 	logs, err := readLogs(folder)
 	if err != nil {
@@ -67,22 +70,22 @@
 	c := newCount(logs)
 	t := newTally(c, logs.lines[0].at, warmAfter)
 	for _, l := range logs.lines {
-		t.take(l)
+		t.addLine(l)
 	}
 	t.closeSecondsBefore(c.Seconds)
 	c.Balancers = len(t.balancers)
 	return c, nil
 }
 
-// newCount makes a count with nothing counted but the lines.
+// newCount makes a count in which only the log lines are counted yet.
 func newCount(logs *fleetLogs) *Count {
 	first, last := logs.lines[0].at, logs.lines[len(logs.lines)-1].at
 	seconds := int(last.Sub(first).Seconds()) + 1
 	return &Count{
-		Lines: logs.read, Unread: logs.unread, Seconds: seconds,
-		Events: map[string][]int{},
-		Hosts:  map[string]map[string][]int{},
-		Knew:   map[int64]Spread{}, PassedOver: map[string]Spread{},
+		Lines: logs.lineCount, Unparsed: logs.unparsed, Seconds: seconds,
+		Events:    map[string][]int{},
+		Hosts:     map[string]map[string][]int{},
+		Revisions: map[int64]Spread{}, PassedOver: map[string]Spread{},
 		Fleet: FleetFigures{
 			Connections: make([]int, seconds),
 			Groups:      make([]int, seconds),
@@ -117,5 +120,5 @@
 	return rows[figure]
 }
 
-// hostNames are the desk hosts that have figures, in order.
+// hostNames are the names of the desk hosts that have figures, sorted.
 func (c *Count) hostNames() []string { return slices.Sorted(maps.Keys(c.Hosts)) }
--- a/internal/lab/count_lines.go
+++ b/internal/lab/count_lines.go
@@ -13,7 +13,7 @@
 	"time"
 )
 
-// logLine is a line of a balancer's log.
+// logLine is a parsed line of a balancer's log.
 type logLine struct {
 	at       time.Time
 	balancer string
@@ -21,17 +21,17 @@
 	fields   map[string]string
 }
 
-// isTrue tells whether a field is there and says yes.
+// isTrue reports whether a field is present with the value true.
 func (l logLine) isTrue(field string) bool { return l.fields[field] == "true" }
 
-// fleetLogs are the lines of all balancers, in the order in which they were written.
+// fleetLogs holds the log lines of all balancers in the order of their time.
 type fleetLogs struct {
-	lines  []logLine
-	read   int // lines of any kind
-	unread int // of them those that are no log line
+	lines     []logLine
+	lineCount int // all lines
+	unparsed  int // lines that are not log lines
 }
 
-// readLogs reads the logs of a folder: files NAME.log, and files named log in folders of their own.
+// readLogs reads the logs of a folder: files NAME.log, and files named log in the folders in it.
 func readLogs(folder string) (*fleetLogs, error) {
 	files, err := logFiles(folder)
 	if err != nil {
@@ -56,8 +56,8 @@
 	return append(flat, nested...), err
 }
 
-// longestLogLine bounds a line of a log, in bytes.
-const longestLogLine = 1 << 20
+// maxLogLine is the maximum length of a log line in bytes.
+const maxLogLine = 1 << 20
 
 func (logs *fleetLogs) readFile(name string) error {
 	file, err := os.Open(name)
@@ -66,19 +66,19 @@
 	}
 	defer file.Close()
 	scan := bufio.NewScanner(file)
-	scan.Buffer(nil, longestLogLine)
+	scan.Buffer(nil, maxLogLine)
 	for scan.Scan() {
-		logs.read++
+		logs.lineCount++
 		if l, ok := readLine(scan.Text()); ok {
 			logs.lines = append(logs.lines, l)
 		} else {
-			logs.unread++
+			logs.unparsed++
 		}
 	}
 	return scan.Err()
 }
 
-// readLine reads a line of the log, as text or JSON; whatever the collector put before it is passed over.
+// readLine parses a log line, written as text or JSON; a prefix that a log collector has added is skipped.
 func readLine(text string) (l logLine, ok bool) {
 	if i := strings.IndexByte(text, '{'); i >= 0 && strings.HasSuffix(text, "}") {
 		l.fields = jsonFields(text[i:])
@@ -90,7 +90,8 @@
 	return l, err == nil && l.event != "" && l.balancer != ""
 }
 
-// jsonFields reads a JSON object; of what is none it makes no fields. Danger: a key has more digits than a float holds.
+// jsonFields parses a JSON object, and returns nil if it cannot. Numbers keep their digits: a group key has more than a
+// float64 holds exactly.
 func jsonFields(text string) map[string]string {
 	var raw map[string]any
 	decoder := json.NewDecoder(strings.NewReader(text))
@@ -107,7 +108,7 @@
 
 var textField = regexp.MustCompile(`([\w.]+)=("(?:[^"\\]|\\.)*"|\S*)`)
 
-// textFields reads NAME=VALUE pairs, a value with blanks in quotes.
+// textFields parses NAME=VALUE pairs; a value with spaces is quoted.
 func textFields(text string) map[string]string {
 	fields := map[string]string{}
 	for _, match := range textField.FindAllStringSubmatch(text, -1) {
--- a/internal/lab/count_print.go
+++ b/internal/lab/count_print.go
@@ -9,10 +9,10 @@
 	"text/tabwriter"
 )
 
-// Print writes the tables, a column a second.
+// Print writes the figures as tables, with a column for each second.
 func (c *Count) Print(out io.Writer) error {
 	p := countPrinter{tabwriter.NewWriter(out, 0, 0, 1, ' ', tabwriter.AlignRight)}
-	fmt.Fprintf(p, "%d balancers, %d lines, %d unread\n", c.Balancers, c.Lines, c.Unread)
+	fmt.Fprintf(p, "%d balancers, %d lines, %d not log lines\n", c.Balancers, c.Lines, c.Unparsed)
 	p.seconds(c.Seconds)
 	p.events(c)
 	p.fleet(&c.Fleet)
@@ -21,7 +21,7 @@
 	return p.Flush()
 }
 
-// countPrinter writes rows of figures; errors are kept until Flush.
+// countPrinter writes the tables of a Count; write errors are kept until Flush.
 type countPrinter struct{ *tabwriter.Writer }
 
 func (p countPrinter) seconds(n int) {
@@ -40,10 +40,10 @@
 }
 
 func (p countPrinter) fleet(f *FleetFigures) {
-	fmt.Fprint(p, "\nthe whole fleet\n")
+	fmt.Fprint(p, "\nfleet\n")
 	for _, figure := range []struct {
-		name  string
-		cells []int
+		name   string
+		values []int
 	}{
 		{"connections", f.Connections},
 		{"groups", f.Groups},
@@ -51,7 +51,7 @@
 		{"variation", f.Variation},
 		{"herd", f.Herd},
 	} {
-		p.row(figure.name, figure.cells)
+		p.row(figure.name, figure.values)
 		fmt.Fprintln(p)
 	}
 }
@@ -59,22 +59,22 @@
 func (p countPrinter) hosts(c *Count) {
 	for _, figure := range hostFigures {
 		fmt.Fprintf(p, "\nby desk host: %s\n", figure)
-		isLevel := figure == "standing" || figure == "load" // which no sum over seconds makes sense of
+		isGauge := figure == "standing" || figure == "load" // a sum over seconds has no meaning
 		for _, host := range c.hostNames() {
-			if cells := c.Hosts[host][figure]; isLevel {
-				p.row(host, cells)
+			if values := c.Hosts[host][figure]; isGauge {
+				p.row(host, values)
 				fmt.Fprintln(p)
 			} else {
-				p.summedRow(host, cells)
+				p.summedRow(host, values)
 			}
 		}
 	}
 }
 
 func (p countPrinter) spreads(c *Count) {
-	fmt.Fprint(p, "\nknown from\tto\tby\t\n")
-	for _, revision := range slices.Sorted(maps.Keys(c.Knew)) {
-		p.spread(c.Knew[revision], fmt.Sprint("revision ", revision))
+	fmt.Fprint(p, "\nfirst seen\tlast seen\tbalancers\t\n")
+	for _, revision := range slices.Sorted(maps.Keys(c.Revisions)) {
+		p.spread(c.Revisions[revision], fmt.Sprint("revision ", revision))
 	}
 	for _, host := range slices.Sorted(maps.Keys(c.PassedOver)) {
 		p.spread(c.PassedOver[host], "passed over "+host)
@@ -85,26 +85,26 @@
 	fmt.Fprintf(p, "%.2f s\t%.2f s\t%d\t%s\t\n", s.First, s.Last, s.Balancers, what)
 }
 
-// row writes a name and a cell a second, but does not end the line.
-func (p countPrinter) row(name string, cells []int) {
+// row writes a name and the values, but does not end the line.
+func (p countPrinter) row(name string, values []int) {
 	fmt.Fprintf(p, "%s\t", name)
-	for _, n := range cells {
-		fmt.Fprintf(p, "%s\t", cell(n))
+	for _, n := range values {
+		fmt.Fprintf(p, "%s\t", figureText(n))
 	}
 }
 
-// summedRow writes a row with the sum of its cells.
-func (p countPrinter) summedRow(name string, cells []int) {
+// summedRow writes a row that ends with the sum of its values.
+func (p countPrinter) summedRow(name string, values []int) {
 	sum := 0
-	for _, n := range cells {
+	for _, n := range values {
 		sum += n
 	}
-	p.row(name, cells)
+	p.row(name, values)
 	fmt.Fprintf(p, "= %d\t\n", sum)
 }
 
-// cell is a figure as text; below 0 there is none.
-func cell(n int) string {
+// figureText formats a figure; a negative one stands for no data.
+func figureText(n int) string {
 	if n < 0 {
 		return "."
 	}
--- a/internal/lab/count_tally.go
+++ b/internal/lab/count_tally.go
@@ -6,53 +6,54 @@
 	"time"
 )
 
-// tally goes through the lines of a fleet in the order of their time, and fills in a count.
+// tally goes through the log lines of a fleet in the order of their time and fills in a Count.
 type tally struct {
 	*Count
-	began     time.Time
-	warmAfter time.Duration
-	second    int // the first one whose end is not counted yet
-	balancers map[string]bool
-	started   map[string]time.Time // desk hosts
-	loads     map[string][]float64 // what reports of this second told, by desk host
-	known     map[knowledge]bool
-	standing  *standingConnections
-	herd      *herd
-}
-
-// knowledge is that a balancer has come to know of a revision of the list or doubts a desk host; one of the two is empty.
-type knowledge struct{ balancer, revision, host string }
-
-func newTally(c *Count, began time.Time, warmAfter time.Duration) *tally {
+	start       time.Time
+	warmAfter   time.Duration
+	second      int // the first second that is not closed yet
+	balancers   map[string]bool
+	hostStarts  map[string]time.Time // start times of desk hosts
+	loads       map[string][]float64 // loads in the reports of this second, by desk host
+	seen        map[observation]bool
+	connections *connectionTracker
+	herd        *herdDetector
+}
+
+// observation is that a balancer has received a revision of the host list, or has passed over a desk host; the other
+// field is empty.
+type observation struct{ balancer, revision, host string }
+
+func newTally(c *Count, start time.Time, warmAfter time.Duration) *tally {
 	return &tally{
-		Count: c, began: began, warmAfter: warmAfter,
-		balancers: map[string]bool{},
-		started:   map[string]time.Time{},
-		loads:     map[string][]float64{},
-		known:     map[knowledge]bool{},
-		standing:  newStandingConnections(),
-		herd:      newHerd(c.Fleet.Herd),
+		Count: c, start: start, warmAfter: warmAfter,
+		balancers:   map[string]bool{},
+		hostStarts:  map[string]time.Time{},
+		loads:       map[string][]float64{},
+		seen:        map[observation]bool{},
+		connections: newConnectionTracker(),
+		herd:        newHerdDetector(c.Fleet.Herd),
 	}
 }
 
-// since is how long after the first line another one was written.
-func (t *tally) since(l logLine) time.Duration { return l.at.Sub(t.began) }
+// since is the time of a line since the first line.
+func (t *tally) since(l logLine) time.Duration { return l.at.Sub(t.start) }
 
 func (t *tally) secondOf(l logLine) int { return int(t.since(l).Seconds()) }
 
-// take counts one line.
-func (t *tally) take(l logLine) {
+// addLine counts one line.
+func (t *tally) addLine(l logLine) {
 	second := t.secondOf(l)
 	t.closeSecondsBefore(second)
 	t.balancers[l.balancer] = true
 	t.event(eventName(l))[second]++
-	t.standing.take(l)
+	t.connections.addLine(l)
 	if count := lineCounters[l.event]; count != nil {
 		count(t, l)
 	}
 }
 
-// lineCounters are what is counted of a kind of line, beside that it came.
+// lineCounters count what an event tells beyond its occurrence.
 var lineCounters = map[string]func(*tally, logLine){
 	"probe-sent":       (*tally).probeSent,
 	"attempt-sent":     (*tally).attemptSent,
@@ -63,7 +64,7 @@
 	"decision":         (*tally).decision,
 }
 
-// eventName is the row under which a line is counted.
+// eventName is the name of the row in which a line is counted.
 func eventName(l logLine) string {
 	switch l.event {
 	case "taken":
@@ -86,7 +87,7 @@
 	return l.event
 }
 
-// clientKind is where in its life a client was that a line tells of.
+// clientKind is the state of the client that a line is about.
 func clientKind(l logLine) string {
 	switch {
 	case l.isTrue("mid"):
@@ -104,7 +105,7 @@
 	return name
 }
 
-// hostPassedOver is the desk host that a decision tells to be doubted.
+// hostPassedOver returns the desk host that a decision passes over.
 func hostPassedOver(l logLine) (host string, ok bool) {
 	rest, ok := strings.CutPrefix(l.fields["text"], "passed over ")
 	host, _, _ = strings.Cut(rest, " ")
@@ -116,8 +117,8 @@
 func (t *tally) attemptSent(l logLine) {
 	host := l.fields["host"]
 	t.host(host, "steps")[t.secondOf(l)]++
-	t.herd.take(t.since(l), host, l.balancer)
-	if started, ok := t.started[host]; ok && l.at.Sub(started) < t.warmAfter {
+	t.herd.addAttempt(t.since(l), host, l.balancer)
+	if started, ok := t.hostStarts[host]; ok && l.at.Sub(started) < t.warmAfter {
 		t.host(host, "cold steps")[t.secondOf(l)]++
 	}
 }
@@ -136,13 +137,13 @@
 }
 
 func (t *tally) listed(l logLine) {
-	if started := startOf(l); !started.IsZero() {
-		t.started[l.fields["host"]] = started
+	if started := listedStart(l); !started.IsZero() {
+		t.hostStarts[l.fields["host"]] = started
 	}
 }
 
-// startOf is when a listed desk host started; zero where the list does not tell.
-func startOf(l logLine) time.Time {
+// listedStart is when a listed desk host started; zero if the list has no start time.
+func listedStart(l logLine) time.Time {
 	ms, err := strconv.ParseInt(l.fields["started_ms"], 10, 64)
 	if err != nil || ms <= 0 {
 		return time.Time{}
@@ -153,28 +154,28 @@
 func (t *tally) discoveryAnswer(l logLine) {
 	text := l.fields["revision"]
 	revision, err := strconv.ParseInt(text, 10, 64)
-	if err == nil && t.isNews(knowledge{balancer: l.balancer, revision: text}) {
-		t.Knew[revision] = t.Knew[revision].add(t.since(l).Seconds())
+	if err == nil && t.isFirst(observation{balancer: l.balancer, revision: text}) {
+		t.Revisions[revision] = t.Revisions[revision].add(t.since(l).Seconds())
 	}
 }
 
 func (t *tally) decision(l logLine) {
 	host, ok := hostPassedOver(l)
-	if ok && t.isNews(knowledge{balancer: l.balancer, host: host}) {
+	if ok && t.isFirst(observation{balancer: l.balancer, host: host}) {
 		t.PassedOver[host] = t.PassedOver[host].add(t.since(l).Seconds())
 	}
 }
 
-// isNews tells whether a balancer comes to know something for the first time.
-func (t *tally) isNews(k knowledge) bool {
-	if t.known[k] {
+// isFirst reports whether an observation is made for the first time.
+func (t *tally) isFirst(k observation) bool {
+	if t.seen[k] {
 		return false
 	}
-	t.known[k] = true
+	t.seen[k] = true
 	return true
 }
 
-// closeSecondsBefore counts what is as of a second's end, for those that have ended.
+// closeSecondsBefore fills in the figures at the end of each second that has ended.
 func (t *tally) closeSecondsBefore(until int) {
 	for ; t.second < until; t.second++ {
 		t.closeSecond(t.second)
@@ -182,15 +183,15 @@
 }
 
 func (t *tally) closeSecond(second int) {
-	for host, connections := range t.standing.byHost {
+	for host, connections := range t.connections.byHost {
 		t.host(host, "standing")[second] = connections
 	}
-	for host, told := range t.loads {
-		t.host(host, "load")[second] = hundredths(mean(told))
+	for host, reported := range t.loads {
+		t.host(host, "load")[second] = hundredths(mean(reported))
 	}
 	clear(t.loads)
-	t.Fleet.Connections[second] = len(t.standing.byID)
-	t.Fleet.Groups[second] = len(t.standing.groups)
-	t.Fleet.Pieces[second] = len(t.standing.pieces)
-	t.Fleet.Variation[second] = t.standing.variation()
+	t.Fleet.Connections[second] = len(t.connections.byID)
+	t.Fleet.Groups[second] = len(t.connections.groups)
+	t.Fleet.Pieces[second] = len(t.connections.pieces)
+	t.Fleet.Variation[second] = t.connections.variation()
 }
--- a/internal/lab/count_test.go
+++ b/internal/lab/count_test.go
@@ -13,9 +13,9 @@
 	"github.com/stretchr/testify/require"
 )
 
-// Two balancers, one whose collector puts seconds before each line, one that logs JSON in a folder of its own; a crash
-// in the midst, and a cold desk host.
-func TestLogsOfAFleetAreCountedTogether(t *testing.T) {
+// Counts two balancers: one whose log collector puts seconds before each line and whose log contains a crash, and one
+// that logs JSON in a folder of its own. The desk host is cold.
+func TestFleetLogsAreCountedTogether(t *testing.T) {
 	folder := t.TempDir()
 	require.NoError(t, os.WriteFile(filepath.Join(folder, "n0.log"), []byte(
 		`0.001 time=2026-12-01T17:00:00.100Z level=INFO msg=ready balancer=n0 listen=a hosts=2 cells=0
@@ -37,16 +37,16 @@
 `), 0o600))
 	c, err := CountLogs(folder, 22*time.Second)
 	require.NoError(t, err)
-	assert.Equal(t, []int{0, 0, 0}, c.Fleet.Pieces, "a log without keys shows no groups")
+	assert.Equal(t, []int{0, 0, 0}, c.Fleet.Pieces, "a log without keys has no groups")
 	assert.Equal(t, []int{1, 1, 0}, c.Fleet.Connections)
-	assert.Equal(t, []int{2, 1, 3}, []int{c.Balancers, c.Unread, c.Seconds})
+	assert.Equal(t, []int{2, 1, 3}, []int{c.Balancers, c.Unparsed, c.Seconds})
 	assert.Equal(t, []int{1, 1, 0}, c.Events["discovery-answer"])
 	assert.Equal(t, []int{0, 1, 0}, c.Events["refused returned"])
 	assert.Equal(t, []int{0, 0, 1}, c.Events["attempt-ended reset, stood"])
 	assert.Equal(t, map[string][]int{"questions": {1, 0, 0}, "steps": {1, 0, 0}, "cold steps": {1, 0, 0},
 		"standing": {1, 1, 0}, "dropped": {0, 0, 1}, "load": {25, 150, -1}}, c.Hosts["b"])
-	assert.Equal(t, 2, c.Knew[7].Balancers)
-	assert.InDelta(t, 1.5, c.Knew[7].Last-c.Knew[7].First, 0.001)
+	assert.Equal(t, 2, c.Revisions[7].Balancers)
+	assert.InDelta(t, 1.5, c.Revisions[7].Last-c.Revisions[7].First, 0.001)
 	assert.Equal(t, 1, c.PassedOver["b"].Balancers)
 	var out bytes.Buffer
 	require.NoError(t, c.Print(&out))
@@ -69,15 +69,15 @@
 	}
 	c, err := CountLogs(folder, 22*time.Second)
 	require.NoError(t, err)
-	assert.Zero(t, c.Unread)
+	assert.Zero(t, c.Unparsed)
 	return c
 }
 
-// Second 0: group 7 stands twice at a and once at b, group 8 once at b: four connections of two groups in three pieces;
-// hosts a, b and the empty c hold 2, 2 and 0, which is 0.943 / 1.333 = 0.71 of variation. Second 1: one of the two at a has
-// gone, which leaves the piece; a, b, c hold 1, 2, 0: 0.816 / 1 = 0.82. Second 2: the other one too; c is gone from the
-// list, a and b hold 0 and 2: 1 / 1. Second 3: all have gone.
-func TestPiecesOfGroupsAreCountedOverTheFleet(t *testing.T) {
+// In second 0, group 7 has two connections at a and one at b, and group 8 has one at b: four connections of two groups
+// in three pieces. Hosts a, b and the empty c hold 2, 2 and 0, a variation of 0.943 / 1.333 = 0.71. In second 1, one of
+// the two at a has ended, which leaves the piece; a, b, c hold 1, 2, 0: 0.816 / 1 = 0.82. In second 2 the other one has
+// ended too and c has left the list; a and b hold 0 and 2: 1 / 1. In second 3 all have ended.
+func TestGroupPiecesAreCounted(t *testing.T) {
 	c := countText(t, map[string]string{"n0": `
 		0.0 listed host=a state=1 started_ms=5000
 		0.0 listed host=b state=1 started_ms=5000
@@ -104,8 +104,9 @@
 	assert.Equal(t, []int{2, 2, 2, 0}, c.Hosts["b"]["standing"])
 }
 
-// A connection that a silent desk host loses is told twice, and once only taken off: the other one stands.
-func TestAConnectionEndsOnce(t *testing.T) {
+// A connection that a silent desk host loses is logged twice (moved-silent and attempt-ended), but must be removed only
+// once: the other connection stays established.
+func TestConnectionEndsOnce(t *testing.T) {
 	c := countText(t, map[string]string{"n0": `
 		0.1 attempt-up host=a id=1 key=7
 		0.2 attempt-up host=a id=2 key=7
@@ -115,9 +116,10 @@
 	assert.Equal(t, []int{2, 1}, c.Hosts["a"]["standing"])
 }
 
-// Client 1 goes on mid-flow through n1 when n0 is stopped, whose own word of the end comes later. n0 is killed and starts
-// anew without a word of client 2. n2 hands over to a second process, which ends what the first one began.
-func TestConnectionsOutliveProcesses(t *testing.T) {
+// Client 1 continues mid-flow through n1 when n0 is stopped, and n0 logs the end only later. n0 is killed and starts
+// again without having logged the end of client 2. n2 hands over to a second process, which ends the connection that
+// the first one established.
+func TestConnectionsSurviveProcesses(t *testing.T) {
 	c := countText(t, map[string]string{"n0": `
 		0.1 attempt-up host=a id=1 key=7
 		0.2 attempt-up host=a id=2 key=8
@@ -133,9 +135,10 @@
 	assert.Equal(t, []int{2, 2, 1, 1}, c.Hosts["a"]["standing"])
 }
 
-// A desk host that drains or has gone is out of the variation whatever a balancer with an old list says, until it starts
-// anew: a and b hold 1 and 0 in second 0 (0.5 / 0.5); then a alone, as b drains and goes; then both once more.
-func TestOldListsBringNoDeskHostBack(t *testing.T) {
+// A desk host that drains or has gone is left out of the variation until it starts again, whatever a balancer with an
+// outdated list logs: a and b hold 1 and 0 in second 0 (0.5 / 0.5); then a alone, as b drains and goes; then both
+// again.
+func TestOutdatedListsDoNotRestoreHosts(t *testing.T) {
 	c := countText(t, map[string]string{"n0": `
 		0.1 listed host=a state=1 started_ms=5000
 		0.1 listed host=b state=1 started_ms=5000
@@ -148,8 +151,9 @@
 	assert.Equal(t, []int{100, 0, 0, 100}, c.Fleet.Variation)
 }
 
-// Two balancers choose a within 100 ms, one of them twice, and a third in the next 100 ms; in second 1 all three choose b.
-func TestAHerdIsBalancersThatChooseOneDeskHostAtOnce(t *testing.T) {
+// Two balancers choose a within 100 ms, one of them twice, and a third in the next 100 ms; in second 1 all three choose
+// b.
+func TestHerdCountsBalancersWithinWindow(t *testing.T) {
 	c := countText(t, map[string]string{"n0": `
 		0.00 attempt-sent host=a id=1 key=7
 		0.05 attempt-sent host=a id=2 key=7
@@ -173,7 +177,7 @@
 		"client-refused: no descriptors": {1}}, c.Events)
 }
 
-// A key of 64 bits has more digits than a float holds: two that differ in the last one are two groups.
+// A 64-bit key has more digits than a float64 holds: two keys that differ in the last digit are two groups.
 func TestKeysAreReadExactly(t *testing.T) {
 	line, ok := readLine(`{"time":"2026-12-01T12:00:00Z","balancer":"n0","msg":"attempt-up","key":18446744073709551615}`)
 	require.True(t, ok)
--- a/internal/lab/exact_prices.go
+++ b/internal/lab/exact_prices.go
@@ -6,37 +6,37 @@
 	"slices"
 )
 
-// The bound of the search comes from prices: one for a load in each room. A net of pairs is laid from nothing to the most
-// that any load brings, then finer round the best pair.
+// The search's bound is computed from prices: one price for a load in each room. A grid of price pairs is laid from 0
+// to the highest gain of any load, then finer around the best pair.
 const (
-	priceNet    = 9 // pairs in each direction
-	priceRounds = 4
-	bestPrices  = 24 // that are kept for the start of the search
-	otherPrices = 8  // one in so many of the others is kept, for what comes deeper
+	priceGridSize      = 9 // prices in each direction
+	priceGridRounds    = 4
+	keptBestPrices     = 24 // price pairs kept for the start of the search
+	otherPriceInterval = 8  // every n-th of the other pairs is kept, for deeper levels
 )
 
-// prepare works out, for a net of prices, what the flights bring at them.
-func (e *exactSearch) prepare() {
-	top := e.highestPrice()
-	low, high := [2]float64{}, [2]float64{top, top}
-	for range priceRounds {
-		best := e.addNet(low, high)
+// preparePrices computes, for a grid of prices, what the flights gain beyond them.
+func (e *exactSearch) preparePrices() {
+	highest := e.highestPrice()
+	low, high := [2]float64{}, [2]float64{highest, highest}
+	for range priceGridRounds {
+		best := e.addPriceGrid(low, high)
 		for room := range 2 {
-			width := (high[room] - low[room]) / (priceNet - 1)
+			width := (high[room] - low[room]) / (priceGridSize - 1)
 			low[room], high[room] = math.Max(best[room]-width, 0), best[room]+width
 		}
 	}
-	e.thin()
+	e.prunePrices()
 }
 
-// highestPrice is the most that any load brings on any host.
+// highestPrice is the highest gain per load on any host.
 func (e *exactSearch) highestPrice() (top float64) {
-	for _, g := range e.groups {
-		for part, load := range g.load {
+	for _, g := range e.flights {
+		for part, load := range g.loads {
 			if load <= 0 {
 				continue
 			}
-			for _, gain := range g.gain[part] {
+			for _, gain := range g.gains[part] {
 				top = math.Max(top, gain/load)
 			}
 		}
@@ -44,93 +44,95 @@
 	return top
 }
 
-// addNet adds the pairs of a net, and tells which gives the least bound.
-func (e *exactSearch) addNet(low, high [2]float64) (best [2]float64) {
-	least := math.Inf(1)
-	at := func(room, step int) float64 {
-		return low[room] + (high[room]-low[room])*float64(step)/(priceNet-1)
+// addPriceGrid adds the pairs of a grid, and returns the pair with the lowest bound.
+func (e *exactSearch) addPriceGrid(low, high [2]float64) (best [2]float64) {
+	lowest := math.Inf(1)
+	priceAt := func(room, step int) float64 {
+		return low[room] + (high[room]-low[room])*float64(step)/(priceGridSize-1)
 	}
-	for i := range priceNet {
-		for j := range priceNet {
-			pair := [2]float64{at(0, i), at(1, j)}
-			if bound := e.addPair(pair); bound < least {
-				least, best = bound, pair
+	for i := range priceGridSize {
+		for j := range priceGridSize {
+			pair := [2]float64{priceAt(0, i), priceAt(1, j)}
+			if bound := e.addPricePair(pair); bound < lowest {
+				lowest, best = bound, pair
 			}
 		}
 	}
 	return best
 }
 
-// addPair adds a pair of prices and tells the bound that it gives at the start.
-func (e *exactSearch) addPair(pair [2]float64) float64 {
-	prices := make([]float64, len(e.serve))
+// addPricePair adds a pair of prices and returns its bound for the empty placement.
+func (e *exactSearch) addPricePair(pair [2]float64) float64 {
+	prices := make([]float64, len(e.capacity))
 	total := 0.0
 	for host := range prices {
 		prices[host] = pair[e.room[host]]
-		total += prices[host] * e.serve[host]
+		total += prices[host] * e.capacity[host]
 	}
-	rest := make([]float64, len(e.groups)+1)
-	for group := len(e.groups) - 1; group >= 0; group-- {
-		rest[group] = rest[group+1] + e.mostOf(group, prices)
+	remainingGain := make([]float64, len(e.flights)+1)
+	for flight := len(e.flights) - 1; flight >= 0; flight-- {
+		remainingGain[flight] = remainingGain[flight+1] + e.maxGainOver(flight, prices)
 	}
-	e.prices, e.rest = append(e.prices, prices), append(e.rest, rest)
-	return total + rest[0]
+	e.prices, e.remainingGain = append(e.prices, prices), append(e.remainingGain, remainingGain)
+	return total + remainingGain[0]
 }
 
-// mostOf is the most that a flight brings over the prices, in any way.
-func (e *exactSearch) mostOf(group int, prices []float64) (most float64) {
-	for _, way := range e.ways[group] {
-		most = math.Max(most, e.over(group, way, prices))
+// maxGainOver is the highest gain of a flight beyond the prices, over all its assignments.
+func (e *exactSearch) maxGainOver(flight int, prices []float64) (highest float64) {
+	for _, at := range e.assignments[flight] {
+		highest = math.Max(highest, e.gainOver(flight, at, prices))
 	}
-	return most
+	return highest
 }
 
-// over is what one way to place a flight brings over the prices: at each host no more than the host serves of the flight
-// if it has nothing else.
-func (e *exactSearch) over(group int, at exactWay, prices []float64) (brings float64) {
+// gainOver is the gain of one assignment of a flight beyond the prices. On each host, it counts no more than the host
+// can serve of this flight alone.
+func (e *exactSearch) gainOver(flight int, at assignment, prices []float64) (gain float64) {
 	for part, host := range at {
 		if host == unplaced || slices.Contains(at[:part], host) {
 			continue
 		}
-		alone := e.worthwhile(group, at, part, prices[host])
-		brings += e.worth(host, alone, 1) - prices[host]*e.pay[host]
+		parts := e.profitableParts(flight, at, part, prices[host])
+		gain += e.worth(host, parts, 1) - prices[host]*e.overhead[host]
 	}
-	return brings
+	return gain
 }
 
-// worthwhile are the parts of a flight, from a given one on, that stand where that one does and bring more than the price.
-func (e *exactSearch) worthwhile(group int, at exactWay, from int, price float64) (parts []held) {
-	g, host := &e.groups[group], at[from]
+// profitableParts are the parts of a flight, from the given one on, that are placed on the same host as that one and
+// gain more than the price.
+func (e *exactSearch) profitableParts(flight int, at assignment, from int, price float64) (parts []placedPart) {
+	g, host := &e.flights[flight], at[from]
 	for part := from; part < len(at); part++ {
-		load, gain := g.load[part], g.gain[part][host]
+		load, gain := g.loads[part], g.gains[part][host]
 		if at[part] == host && gain > price*load {
-			parts = append(parts, held{load, gain - price*load})
+			parts = append(parts, placedPart{load, gain - price*load})
 		}
 	}
 	return parts
 }
 
-// thin keeps the prices that bound best at the start, and some of the others for what comes deeper.
-func (e *exactSearch) thin() {
+// prunePrices keeps the prices with the best bounds for the empty placement, and some of the others, which may bound
+// better deeper in the search.
+func (e *exactSearch) prunePrices() {
 	bounds, order := make([]float64, len(e.prices)), make([]int, len(e.prices))
 	for i := range e.prices {
 		bounds[i], order[i] = e.boundAtStart(i), i
 	}
 	slices.SortFunc(order, func(a, b int) int { return cmp.Or(cmp.Compare(bounds[a], bounds[b]), a-b) })
-	var prices, rest [][]float64
+	var prices, remainingGain [][]float64
 	for rank, i := range order {
-		if rank < bestPrices || rank%otherPrices == 0 {
-			prices, rest = append(prices, e.prices[i]), append(rest, e.rest[i])
+		if rank < keptBestPrices || rank%otherPriceInterval == 0 {
+			prices, remainingGain = append(prices, e.prices[i]), append(remainingGain, e.remainingGain[i])
 		}
 	}
-	e.prices, e.rest = prices, rest
+	e.prices, e.remainingGain = prices, remainingGain
 }
 
-// boundAtStart is the bound by some prices while nothing is placed.
+// boundAtStart is the bound by a pair of prices for the empty placement.
 func (e *exactSearch) boundAtStart(i int) float64 {
-	bound := e.rest[i][0]
+	bound := e.remainingGain[i][0]
 	for host, price := range e.prices[i] {
-		bound += price * e.serve[host]
+		bound += price * e.capacity[host]
 	}
 	return bound
 }
--- a/internal/lab/exact_search.go
+++ b/internal/lab/exact_search.go
@@ -6,35 +6,35 @@
 	"slices"
 )
 
-// exactSearch is a search by branch and bound: flight by flight, the way that promises most first.
+// exactSearch is a branch-and-bound search, flight by flight, that tries the assignment with the highest bound first.
 type exactSearch struct {
-	*exactLoad
-	best   float64
-	budget int          // nodes that may still be visited
-	prices [][]float64  // of a load, by host: the same for all hosts of a room
-	rest   [][]float64  // of each of the prices: the most that the flights from a given one on bring
-	ways   [][]exactWay // by flight
+	*partialPlacement
+	best          float64
+	nodeBudget    int            // nodes that may still be visited
+	prices        [][]float64    // per load, by host; the same for all hosts of a room
+	remainingGain [][]float64    // by price pair: the highest gain beyond the prices of the flights from a given one on
+	assignments   [][]assignment // by flight
 }
 
-// exactWay is one way to place a flight: for each part its host.
-type exactWay []int
+// assignment is the host of each part of a flight.
+type assignment []int
 
-func newExactSearch(c *exactCase, floor float64, budget int) *exactSearch {
-	e := &exactSearch{exactLoad: newExactLoad(c), best: floor, budget: budget}
-	for _, g := range e.groups {
-		e.ways = append(e.ways, waysOf(len(g.load), len(e.serve)))
+func newExactSearch(c *exactProblem, floor float64, budget int) *exactSearch {
+	e := &exactSearch{partialPlacement: newPartialPlacement(c), best: floor, nodeBudget: budget}
+	for _, g := range e.flights {
+		e.assignments = append(e.assignments, allAssignments(len(g.loads), len(e.capacity)))
 	}
-	e.prepare()
+	e.preparePrices()
 	return e
 }
 
-// waysOf are all ways to place so many parts on so many hosts.
-func waysOf(parts, hosts int) (ways []exactWay) {
+// allAssignments are all assignments of a number of parts to a number of hosts.
+func allAssignments(parts, hosts int) (all []assignment) {
 	at := make([]int, parts)
 	var place func(part int)
 	place = func(part int) {
 		if part == parts {
-			ways = append(ways, slices.Clone(at))
+			all = append(all, slices.Clone(at))
 			return
 		}
 		for host := unplaced; host < hosts; host++ {
@@ -43,93 +43,95 @@
 		}
 	}
 	place(0)
-	return ways
+	return all
 }
 
-// bound is what nothing that completes the present placement is over: at any prices a host brings at most the price of
-// what it serves and what its parts bring over the price. One that is full and stops to serve at a gain over the price
-// brings what it does, and more parts bring no more there than at the price, for the most that it serves is concave.
-func (e *exactSearch) bound(group int) float64 {
-	value, stops := make([]float64, len(e.serve)), make([]float64, len(e.serve))
+// bound is an upper bound of the worth of all completions of the current placement, in which the flights before the
+// given one are placed. At any prices, a host gains at most the price of its capacity plus what its parts gain beyond
+// the price. A full host whose marginal gain is above the price counts with its exact worth: the worth of a host is
+// concave in its load, so more parts gain no more there than at the price.
+func (e *exactSearch) bound(flight int) float64 {
+	value, marginalGain := make([]float64, len(e.capacity)), make([]float64, len(e.capacity))
 	for host := range value {
-		value[host], stops[host] = e.filled(host, e.parts[host], e.flights[host])
+		value[host], marginalGain[host] = e.fill(host, e.parts[host], e.flightCount[host])
 	}
-	least := math.Inf(1)
+	lowest := math.Inf(1)
 	for i, prices := range e.prices {
-		total := e.rest[i][group]
+		total := e.remainingGain[i][flight]
 		for host, price := range prices {
-			if stops[host] > 0 && stops[host] >= price {
+			if marginalGain[host] > 0 && marginalGain[host] >= price {
 				total += value[host]
 				continue
 			}
-			total += price*(e.serve[host]-float64(e.flights[host])*e.pay[host]) - float64(e.flights[host])*e.paid[host]
+			total += price*(e.capacity[host]-float64(e.flightCount[host])*e.overhead[host]) - float64(e.flightCount[host])*e.overheadCost[host]
 			for _, part := range e.parts[host] {
-				if over := part.gain - price*part.load; over > 0 {
-					total += over
+				if surplus := part.gain - price*part.load; surplus > 0 {
+					total += surplus
 				}
 			}
 		}
-		if least = math.Min(least, total); least <= e.best {
+		if lowest = math.Min(lowest, total); lowest <= e.best {
 			break
 		}
 	}
-	return least
+	return lowest
 }
 
-// exactNode is a way to go on, and what nothing beyond it is over.
+// exactNode is an assignment of the next flight, with the upper bound of all placements that continue from it.
 type exactNode struct {
-	at    exactWay
+	at    assignment
 	bound float64
 }
 
-// visit places the flights from a given one on.
-func (e *exactSearch) visit(group int) {
-	if e.budget--; e.budget <= 0 {
+// visit places the flights from the given one on.
+func (e *exactSearch) visit(flight int) {
+	if e.nodeBudget--; e.nodeBudget <= 0 {
 		return
 	}
-	if group == len(e.groups) {
+	if flight == len(e.flights) {
 		e.best = math.Max(e.best, e.total())
 		return
 	}
-	for _, node := range e.branches(group) {
-		if !e.promises(node.bound) {
+	for _, node := range e.branches(flight) {
+		if !e.canImprove(node.bound) {
 			return
 		}
-		e.set(group, node.at)
-		e.visit(group + 1)
+		e.set(flight, node.at)
+		e.visit(flight + 1)
 		e.unset(node.at)
 	}
 }
 
-// branches are the ways to place a flight that may lead to something better, the most promising first.
-func (e *exactSearch) branches(group int) (nodes []exactNode) {
-	for _, way := range e.ways[group] {
-		if e.mirrored(way) {
+// branches are the assignments of a flight that may improve on the best placement, those with the highest bounds first.
+func (e *exactSearch) branches(flight int) (nodes []exactNode) {
+	for _, at := range e.assignments[flight] {
+		if e.isSymmetricDuplicate(at) {
 			continue
 		}
-		e.set(group, way)
-		if bound := e.bound(group + 1); e.promises(bound) {
-			nodes = append(nodes, exactNode{way, bound})
+		e.set(flight, at)
+		if bound := e.bound(flight + 1); e.canImprove(bound) {
+			nodes = append(nodes, exactNode{at, bound})
 		}
-		e.unset(way)
+		e.unset(at)
 	}
 	slices.SortStableFunc(nodes, func(a, b exactNode) int { return cmp.Compare(b.bound, a.bound) })
 	return nodes
 }
 
-// promises tells whether a bound leaves room for more than rounding.
-func (e *exactSearch) promises(bound float64) bool {
-	return bound > e.best+rounding*math.Abs(e.best)
+// canImprove reports whether a bound is above the best worth by more than rounding errors.
+func (e *exactSearch) canImprove(bound float64) bool {
+	return bound > e.best+roundingTolerance*math.Abs(e.best)
 }
 
-// mirrored tells that a way takes an empty host where an equal one before it is empty.
-func (e *exactSearch) mirrored(at []int) bool {
+// isSymmetricDuplicate reports whether an assignment uses an empty host while an interchangeable host before it is
+// empty.
+func (e *exactSearch) isSymmetricDuplicate(at []int) bool {
 	for part, host := range at {
-		if host == unplaced || e.flights[host] > 0 || e.home[host] {
+		if host == unplaced || e.flightCount[host] > 0 || e.inCurrentPlan[host] {
 			continue
 		}
 		for other := range host {
-			if e.flights[other] == 0 && e.equal(other, host) && !slices.Contains(at[:part], other) {
+			if e.flightCount[other] == 0 && e.interchangeable(other, host) && !slices.Contains(at[:part], other) {
 				return true
 			}
 		}
@@ -137,7 +139,7 @@
 	return false
 }
 
-// equal tells that two hosts may change places in any placement.
-func (e *exactSearch) equal(other, host int) bool {
-	return !e.home[other] && e.room[other] == e.room[host] && e.serve[other] == e.serve[host] && e.pay[other] == e.pay[host]
+// interchangeable reports whether two hosts may be swapped in any placement.
+func (e *exactSearch) interchangeable(other, host int) bool {
+	return !e.inCurrentPlan[other] && e.room[other] == e.room[host] && e.capacity[other] == e.capacity[host] && e.overhead[other] == e.overhead[host]
 }
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -17,39 +17,47 @@
 	"tealtiller/internal/placement"
 )
 
-// Experiment is a file under lab/: a fleet, its traffic and what goes wrong.
+// Experiment is a file under lab/: a fleet, its traffic and its faults.
 type Experiment struct {
 	Duration  string  `hcl:"duration"`
 	Balancers int     `hcl:"balancers"`
-	Operator  string  `hcl:"operator,optional"` // the operator's file, beside this one; without one all is one cell
+	Operator  string  `hcl:"operator,optional"` // the operator's file, in the same folder; without it and cells, all hosts are one cell
 	Hosts     int     `hcl:"hosts"`
-	PerCore   float64 `hcl:"per_core,optional"` // loads that fill one core of speed 1
-	Opens     float64 `hcl:"opens"`             // new clients a second, all carriers together
-	Life      string  `hcl:"life"`              // mean
-	Flights   int     `hcl:"flights,optional"`  // of each carrier at a time
-	Settle    string  `hcl:"settle,optional"`   // from when on times are counted
-	Pause     string  `hcl:"pause,optional"`    // from one line of a client to the next
-	Carriers  int     `hcl:"carriers,optional"` // so many of equal shares, in place of the eight
-	Cells     int     `hcl:"cells,optional"`    // so many of equal shares, carriers dealt out, where no file is named
-	Skew      float64 `hcl:"skew,optional"`     // share of the flights whose clients arrive in the first room; 0: clients know no rooms
-	Weights   string  `hcl:"weights,optional"`  // what discovery tells of sizes: "told" (the hosts' speeds, as without) or "equal"
+	PerCore   float64 `hcl:"per_core,optional"` // load that fills one core of speed 1
+	Opens     float64 `hcl:"opens"`             // new clients per second, of all carriers together
+	Life      string  `hcl:"life"`              // mean lifetime of a connection
+	Flights   int     `hcl:"flights,optional"`  // number of flights of each carrier
+	Settle    string  `hcl:"settle,optional"`   // settling time, before which no durations are recorded
+	Pause     string  `hcl:"pause,optional"`    // time from one line of a client to the next
+	Carriers  int     `hcl:"carriers,optional"` // number of carriers of equal shares, in place of Carriers
+	Cells     int     `hcl:"cells,optional"`    // number of cells of equal shares, if no operator's file is named
+	Skew      float64 `hcl:"skew,optional"`     // share of the flights whose home is the first room; at 0, clients have no rooms
+	Weights   string  `hcl:"weights,optional"`  // sizes that discovery lists: "told" (the hosts' speeds, the default) or "equal"
 	Faults    []Fault `hcl:"fault,block"`
 
-	Placed *placement.Plan // that balancers are told of
-	Record bool            // balancers record what they see
+	PlacementPlan *placement.Plan // plan that the balancers are given; nil for none
+	Record        bool            // whether balancers record their load for placement
 
-	Plan *cells.Plan
-	Dir  string
+	CellPlan *cells.Plan
+	Dir      string
 }
 
-// Fault is one thing that goes wrong. Kinds: crash (part of the hosts, of one cell where named; back cold), errors
-// (the same, failing a share of openings), hot-key (further traffic, a share of all, under one key of a carrier, each weighing size times as much),
-// heavy (a carrier's connections weigh size times as much), deploy (hosts drain, end and are replaced), discovery
-// (out of reach), drop (a share of a carrier's clients, or of all, drop and come again), drain (part of the hosts drain and leave; with a size they are replaced),
-// restart (one balancer, by SIGTERM and SIGKILL), dark (the hosts of a room vanish for a span: connections stay open and
-// nothing is answered, as TCP says nothing of a machine gone; discovery still lists them; they are back cold), freeze
-// (part of the balancers stopped by SIGSTOP for a span, then go on with stale beliefs), one-way (as dark, but the hosts
-// take what comes and set it up; only their answers are lost).
+// Fault is one fault of an experiment. Its kinds are:
+//
+//   - crash: a share of the hosts (of one cell, where named) crash and restart cold.
+//   - errors: a share of the hosts (of one cell, where named) fail a share of the openings, given by size.
+//   - hot-key: additional traffic, given as a share of all traffic, under one key of a carrier; each connection has
+//     size times the load.
+//   - heavy: new connections of a carrier have size times the load.
+//   - deploy: hosts drain, stop and are replaced.
+//   - discovery: discovery is unreachable.
+//   - drop: a share of the clients of a carrier, or of all clients, drop their connections and reconnect.
+//   - drain: a share of the hosts drain and leave; if a size is given, they are replaced.
+//   - restart: one balancer is restarted, by SIGTERM and SIGKILL.
+//   - dark: the hosts of a room become unresponsive for a time. Connections stay open and nothing is answered, as TCP
+//     does not report a machine that has vanished; discovery still lists the hosts. They come back cold.
+//   - freeze: a share of the balancers are stopped by SIGSTOP for a time, then continue with outdated state.
+//   - one-way: as dark, but the hosts receive and process what is sent to them; only their answers are lost.
 type Fault struct {
 	Kind    string  `hcl:"kind,label"`
 	At      string  `hcl:"at"`
@@ -61,8 +69,8 @@
 	Room    string  `hcl:"room,optional"`
 }
 
-// even is a plan of so many equal cells.
-func (e *Experiment) even() *cells.Plan {
+// equalCells is a plan with cells of equal shares, to which the carriers are assigned in turn.
+func (e *Experiment) equalCells() *cells.Plan {
 	p := &cells.Plan{Default: "cell-00", Slack: 0.1, AbsentRetention: time.Minute}
 	for i := range e.Cells {
 		p.Cells = append(p.Cells, cells.Cell{Name: fmt.Sprintf("cell-%02d", i), Share: 1 / float64(e.Cells)})
@@ -85,17 +93,17 @@
 	return out
 }
 
-// Carrier is one of those whose clients come, with its share of the traffic.
+// Carrier is an airline, with its share of the traffic.
 type Carrier struct {
 	Name  string
 	Share float64
 }
 
-// Carriers are those of the operators' page.
+// Carriers are the carriers that the operators' documentation lists.
 var Carriers = []Carrier{{"dyfed-air", 0.21}, {"severn-link", 0.20}, {"menai-wings", 0.15}, {"gower-air", 0.12}, {"teifi-flyer", 0.09},
 	{"brecon-air", 0.08}, {"conwy-hop", 0.08}, {"ynys-air", 0.07}}
 
-var kinds = map[string]bool{"crash": true, "errors": true, "hot-key": true, "heavy": true, "deploy": true, "discovery": true,
+var faultKinds = map[string]bool{"crash": true, "errors": true, "hot-key": true, "heavy": true, "deploy": true, "discovery": true,
 	"drop": true, "drain": true, "restart": true, "dark": true, "freeze": true, "one-way": true}
 
 // Load reads an experiment and the operator's file that it names.
@@ -105,29 +113,29 @@
 		return nil, err
 	}
 	if e.Cells > 0 {
-		e.Plan = e.even()
+		e.CellPlan = e.equalCells()
 	}
 	if e.Operator != "" {
-		_, plan, err := e.operatorFile()
+		_, plan, err := e.readOperatorFile()
 		if err != nil {
 			return nil, err
 		}
-		e.Plan = plan
+		e.CellPlan = plan
 	}
-	return e, e.check()
+	return e, e.validate()
 }
 
-var moment = regexp.MustCompile(`NOW\+[0-9a-z.]+`)
+var relativeTime = regexp.MustCompile(`NOW\+[0-9a-z.]+`)
 
-// operatorFile is the operator's file of an experiment; NOW+30s in it stands for the moment 30 s from now.
-func (e *Experiment) operatorFile() ([]byte, *cells.Plan, error) {
+// readOperatorFile reads the operator's file of an experiment; NOW+30s in it is replaced by the time 30 s from now.
+func (e *Experiment) readOperatorFile() ([]byte, *cells.Plan, error) {
 	path, now := filepath.Join(e.Dir, e.Operator), time.Now()
 	text, err := os.ReadFile(path)
 	if err != nil {
 		return nil, nil, err
 	}
-	text = moment.ReplaceAllFunc(text, func(m []byte) []byte {
-		return []byte(now.Add(span(string(m[len("NOW+"):]))).UTC().Format(time.RFC3339Nano))
+	text = relativeTime.ReplaceAllFunc(text, func(m []byte) []byte {
+		return []byte(now.Add(parsedDuration(string(m[len("NOW+"):]))).UTC().Format(time.RFC3339Nano))
 	})
 	file, err := operator.Parse(text, path)
 	if err != nil {
@@ -136,47 +144,48 @@
 	return text, file.Cells, nil
 }
 
-func (e *Experiment) check() error {
-	spans := []string{e.Duration, e.Life, e.Settle, e.Pause}
+func (e *Experiment) validate() error {
+	durations := []string{e.Duration, e.Life, e.Settle, e.Pause}
 	for _, f := range e.Faults {
-		if !kinds[f.Kind] {
-			return fmt.Errorf("fault %q: no such kind", f.Kind)
+		if !faultKinds[f.Kind] {
+			return fmt.Errorf("fault %q: unknown kind", f.Kind)
 		}
-		if spans = append(spans, f.At); f.For != "" {
-			spans = append(spans, f.For)
+		if durations = append(durations, f.At); f.For != "" {
+			durations = append(durations, f.For)
 		}
 	}
-	for _, s := range spans {
-		if d, err := time.ParseDuration(s); err != nil || d < 0 {
-			return fmt.Errorf("%q is no span of time", s)
+	for _, text := range durations {
+		if d, err := time.ParseDuration(text); err != nil || d < 0 {
+			return fmt.Errorf("%q: not a non-negative duration", text)
 		}
 	}
 	if !(e.Skew >= 0 && e.Skew <= 1) || e.Weights != "" && e.Weights != "told" && e.Weights != "equal" {
-		return errors.New("want a skew from 0 to 1, and weights told or equal")
+		return errors.New("skew must be from 0 to 1, and weights \"told\" or \"equal\"")
 	}
 	if e.Hosts < 1 || e.Balancers < 1 || !(e.Opens > 0) || e.Flights < 1 {
-		return errors.New("want hosts, balancers, opens and flights above 0")
+		return errors.New("hosts, balancers, opens and flights must be above 0")
 	}
 	return nil
 }
 
-// InVirtualTime tells what speaks against playing it there: balancers and discovery have no process to end.
-func (e *Experiment) InVirtualTime() error {
+// CheckVirtual returns an error if the experiment cannot be played in virtual time, which has no processes to stop and
+// no discovery to take down.
+func (e *Experiment) CheckVirtual() error {
 	for _, f := range e.Faults {
 		if f.Kind == "restart" || f.Kind == "discovery" || f.Kind == "dark" || f.Kind == "freeze" || f.Kind == "one-way" {
-			return fmt.Errorf("fault %q is played on sockets only", f.Kind)
+			return fmt.Errorf("fault %q can be played on sockets only", f.Kind)
 		}
 	}
 	return nil
 }
 
-// span reads a span that check has seen.
-func span(text string) time.Duration {
+// parsedDuration parses a duration that validate has checked.
+func parsedDuration(text string) time.Duration {
 	d, _ := time.ParseDuration(text)
 	return d
 }
 
-// Fleet makes the desk hosts: two rooms, two kinds of unlike speed.
+// Fleet draws the desk hosts: in two rooms, of two kinds with different speeds.
 func (e *Experiment) Fleet(seed uint64) []Spec {
 	rng := rand.New(rand.NewPCG(seed, 1))
 	out := make([]Spec, e.Hosts)
@@ -185,64 +194,64 @@
 		if i/2%2 == 1 {
 			kind, speed = "slow-clock", 0.51+0.18*rng.Float64()
 		}
-		out[i] = Spec{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Room: bothRooms[i%2], Kind: kind,
-			Number: i / 4, Cores: 3, Speed: speed, PerCore: e.PerCore, Most: 1800}
+		out[i] = Spec{ID: fmt.Sprintf("s-%08x", rng.Uint32()), Room: roomNames[i%2], Kind: kind,
+			CellNumber: i / 4, Cores: 3, Speed: speed, PerCore: e.PerCore, MaxConnections: 1800}
 	}
 	return out
 }
 
-// arrival is one client: when it comes, and what it is. All is drawn ahead, by a stream of chance of each carrier's
-// own, so that what befalls one carrier changes nothing of what another asks for.
+// arrival is one client: when it arrives, and its properties. All arrivals are drawn in advance, each carrier's from a
+// random stream of its own, so that faults of one carrier do not change the traffic of another.
 type arrival struct {
-	at      time.Duration
-	carrier string
-	class   string
-	key     uint64
-	group   uint64
-	load    float64
-	life    time.Duration
-	extra   bool    // of a hot key
-	home    float64 // under the skew: the flight's own room is the first
+	at           time.Duration
+	carrier      string
+	class        string
+	key          uint64
+	group        uint64
+	load         float64
+	life         time.Duration
+	uncounted    bool    // not counted in the figures of cells and carriers: a client of a hot key
+	homePosition float64 // position from 0 to 1; below the skew, the flight's home is the first room
 }
 
-var bothRooms = []string{"treforest", "llandaff"}
+var roomNames = []string{"treforest", "llandaff"}
 
-// mostlyHome is the share of a flight's clients that arrive in its own room.
-const mostlyHome = 0.85
+// homeRoomShare is the share of a flight's clients that arrive in the flight's home room.
+const homeRoomShare = 0.85
 
-// room is where a client arrives: it follows from the flight and the client alone, so that no stream of chance is
-// drawn from for it. Empty where clients know no rooms.
-func (e *Experiment) room(a *arrival) string {
+// clientRoom is the room in which a client arrives; empty if clients have no rooms. It is derived from the flight and
+// the client alone, without a random draw, so that it does not change the other draws.
+func (e *Experiment) clientRoom(a *arrival) string {
 	if e.Skew == 0 {
 		return ""
 	}
-	home := 1
-	if a.home < e.Skew {
-		home = 0
+	homeRoom := 1
+	if a.homePosition < e.Skew {
+		homeRoom = 0
 	}
-	if cells.CrossingPosition(a.key^a.group) >= mostlyHome {
-		home = 1 - home
+	if cells.CrossingPosition(a.key^a.group) >= homeRoomShare {
+		homeRoom = 1 - homeRoom
 	}
-	return bothRooms[home]
+	return roomNames[homeRoom]
 }
 
-// balancerRoom is where a balancer stands.
+// balancerRoom is the room of a balancer.
 func (e *Experiment) balancerRoom(i int) string {
 	if e.Skew == 0 {
-		return bothRooms[0]
+		return roomNames[0]
 	}
-	return bothRooms[i%2]
+	return roomNames[i%2]
 }
 
-// size is what discovery tells of a host's size.
-func (e *Experiment) size(s Spec) float64 {
+// listedSize is the size that discovery lists for a host.
+func (e *Experiment) listedSize(s Spec) float64 {
 	if e.Weights == "equal" {
 		return 1
 	}
 	return s.Speed
 }
 
-// arrivals draws the clients of one carrier in order of time.
+// arrivals draws the clients of one carrier, in the order of their time; those of a hot key follow at the end.
 func (e *Experiment) arrivals(seed uint64, index int) (out []arrival) {
 	c := e.carriers()[index]
 	rng := rand.New(rand.NewPCG(seed, 100+uint64(index)))
@@ -250,11 +259,11 @@
 	for i := range flights {
 		flights[i] = rng.Uint64()
 	}
-	end, life := span(e.Duration), span(e.Life)
+	end, life := parsedDuration(e.Duration), parsedDuration(e.Life)
 	draw := func(at time.Duration) arrival {
 		key, flight := rng.Uint64(), rng.IntN(len(flights))
-		_, home := math.Modf((float64(index*len(flights)+flight) + 0.5) * 0.6180339887) // spread evenly, whatever the seed
-		a := arrival{at: at, carrier: c.Name, class: "lookup", key: key, group: flights[flight], home: home,
+		_, homePosition := math.Modf((float64(index*len(flights)+flight) + 0.5) * 0.6180339887) // spread evenly by the golden ratio, for every seed
+		a := arrival{at: at, carrier: c.Name, class: "lookup", key: key, group: flights[flight], homePosition: homePosition,
 			load: math.Exp(0.5*rng.NormFloat64() - 0.125), life: time.Duration((0.2 + 0.8*rng.ExpFloat64()) * float64(life))}
 		if rng.Float64() < 0.21 {
 			a.class, a.load = "seat-set", a.load*3
@@ -268,28 +277,29 @@
 		}
 		out = append(out, draw(at))
 	}
-	hot := rand.New(rand.NewPCG(seed, 200+uint64(index)))
+	hotKeyRNG := rand.New(rand.NewPCG(seed, 200+uint64(index)))
 	for _, f := range e.Faults {
 		if f.Kind != "hot-key" || f.Carrier != c.Name {
 			continue
 		}
-		rng = hot
+		rng = hotKeyRNG
 		key := rng.Uint64()
-		for at := span(f.At); ; {
+		for at := parsedDuration(f.At); ; {
 			at += time.Duration(rng.ExpFloat64() / (e.Opens * f.Part) * float64(time.Second))
-			if at >= min(span(f.At)+span(f.For), end) {
+			if at >= min(parsedDuration(f.At)+parsedDuration(f.For), end) {
 				break
 			}
 			a := draw(at)
-			a.group, a.extra, a.load = key, true, a.load*max(f.Size, 1)
+			a.group, a.uncounted, a.load = key, true, a.load*max(f.Size, 1)
 			out = append(out, a)
 		}
 	}
 	return out
 }
 
-// hit picks the hosts that a fault is for: a part, rounded up, of those of its cell, or of all.
-func (f *Fault) hit(rng *rand.Rand, specs []Spec, cellOf map[string]string) (out []Spec) {
+// affectedHosts picks the hosts that a fault affects: a share, rounded up, of the hosts of its cell and room, or of all
+// hosts.
+func (f *Fault) affectedHosts(rng *rand.Rand, specs []Spec, cellOf map[string]string) (out []Spec) {
 	for _, s := range specs {
 		if (f.Cell == "" || cellOf[s.ID] == f.Cell) && (f.Room == "" || s.Room == f.Room) {
 			out = append(out, s)
--- a/internal/lab/plot.go
+++ b/internal/lab/plot.go
@@ -9,26 +9,26 @@
 	"gonum.org/v1/plot/vg"
 )
 
-// PlotSizes draws, for each kind of fault, the share of connections that it harmed: of the other carriers, and of the
-// one that it was aimed at.
-func PlotSizes(others, stricken string, sized []Sized) error {
-	if err := plotHarm(others, "Connections of the other 39 carriers that a fault harms", sized, func(h Harm) Tally { return h.Others }); err != nil {
+// PlotFaultHarm draws, for each kind of fault, the share of connections that it harmed: of the carrier that it
+// targeted, and of the others.
+func PlotFaultHarm(others, targeted string, comparisons []FaultComparison) error {
+	if err := plotHarm(others, "Harmed connections of the 39 carriers that the fault does not target", comparisons, func(h Harm) Tally { return h.Others }); err != nil {
 		return err
 	}
-	return plotHarm(stricken, "Connections harmed of the carrier that the fault is aimed at", sized, func(h Harm) Tally { return h.Stricken })
+	return plotHarm(targeted, "Harmed connections of the carrier that the fault targets", comparisons, func(h Harm) Tally { return h.Targeted })
 }
 
-func plotHarm(path, title string, sized []Sized, of func(Harm) Tally) error {
+func plotHarm(path, title string, comparisons []FaultComparison, tallyOf func(Harm) Tally) error {
 	p := plot.New()
 	p.Title.Text = title
 	p.Y.Label.Text = "per cent"
 	p.Legend.Top, p.Legend.XOffs, p.Legend.Padding = true, -vg.Centimeter, vg.Points(3)
 	var names []string
 	var with, without plotter.Values
-	for _, s := range sized {
+	for _, s := range comparisons {
 		names = append(names, s.Fault)
-		with = append(with, 100*of(s.With).share())
-		without = append(without, 100*of(s.Without).share())
+		with = append(with, 100*tallyOf(s.With).share())
+		without = append(without, 100*tallyOf(s.Without).share())
 	}
 	for i, bars := range []struct {
 		values plotter.Values
@@ -47,16 +47,16 @@
 	return p.Save(18*vg.Centimeter, 10*vg.Centimeter, path)
 }
 
-// PlotPlacement draws how the solver's gap to its bound and its time grow with the fleet.
-func PlotPlacement(path string, all []SizedPlan) error {
+// PlotPlacement draws the solver's gap to its bound over its time, by size of the fleet.
+func PlotPlacement(path string, runs []SolverRun) error {
 	p := plot.New()
-	p.Title.Text = "Gap to the bound, by hosts (20 flights a host); lines end where the search did"
+	p.Title.Text = "Gap to the bound, by hosts (20 flights per host); each line ends with the search"
 	p.X.Label.Text, p.Y.Label.Text = "milliseconds", "per cent"
 	p.X.Scale, p.X.Tick.Marker = plot.LogScale{}, plot.LogTicks{Prec: 0}
 	p.Legend.Top, p.Legend.Padding = true, vg.Points(3)
 	lines := map[[2]int]plotter.XYs{}
 	var order [][2]int
-	for _, s := range all {
+	for _, s := range runs {
 		key := [2]int{s.Hosts, int(s.Demand*100 + 0.5)}
 		if lines[key] == nil {
 			order = append(order, key)
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -13,42 +13,44 @@
 	"tealtiller/policy"
 )
 
-// Sockets plays an experiment on loopback sockets, against real balancer processes: it takes the place of the desk
-// hosts, of discovery, of the front and of the clients. One lock guards all that it knows; it only watches.
-type Sockets struct {
-	exp     *Experiment
-	plan    *cells.Plan // that the auditor holds the balancers to; nil without cells
-	binary  string
-	folder  string
-	began   time.Time
-	mu      sync.Mutex
-	rng     *rand.Rand
-	hosts   map[string]*standIn
-	specs   []Spec
-	cellOf  map[string]string
-	nodes   []*node
-	audit   *audit
-	stop    context.CancelFunc
-	ctx     context.Context
-	clients sync.WaitGroup
-	reach   bool // discovery answers
-	rev     int64
-	changes []change
-	news    chan struct{} // closed at each change
-	weight  map[string]float64
-	live    map[*client]bool
-	// what the balancers recorded, where the experiment has them do so
-	fleet    *placement.Fleet
-	fleetErr error
-	// a room that is dark, since when, and the last new attempt that each balancer sent into it
-	darkRoom string
-	darkAt   time.Time
-	lastDark map[*node]time.Duration
+// SocketLab plays an experiment on loopback sockets against real balancer processes: it takes the place of the desk
+// hosts, of discovery, of the front and of the clients. One lock guards its state, including the auditor's; the auditor
+// only observes.
+type SocketLab struct {
+	exp         *Experiment
+	plan        *cells.Plan // plan that the auditor checks the balancers against; nil without cells
+	binary      string
+	folder      string
+	began       time.Time
+	mu          sync.Mutex
+	rng         *rand.Rand
+	hosts       map[string]*simulatedHost
+	specs       []Spec
+	cellOf      map[string]string
+	balancers   []*balancerProcess
+	auditor     *auditor
+	stop        context.CancelFunc
+	ctx         context.Context
+	tasks       sync.WaitGroup
+	discoveryUp bool // whether discovery is reachable
+	revision    int64
+	changes     []change
+	listChanged chan struct{} // closed and replaced at each change of the list or of discoveryUp
+	loadFactors map[string]float64
+	liveClients map[*client]bool
+	// fleet from the balancers' records, if the experiment has them record
+	recordedFleet    *placement.Fleet
+	recordedFleetErr error
+	// the room that is dark, since when, and when each balancer last sent a new attempt into it
+	darkRoom        string
+	darkAt          time.Time
+	lastDarkAttempt map[*balancerProcess]time.Duration
 }
 
-// NewSockets makes a world; without cells the balancers get no operator's file.
-func NewSockets(exp *Experiment, seed uint64, withCells bool, binary, folder string) (*Sockets, error) {
-	s := newSockets(exp, seed, binary, folder)
+// NewSocketLab starts the hosts, discovery and the balancers of an experiment. Without cells, the auditor does not hold
+// the balancers to a plan.
+func NewSocketLab(exp *Experiment, seed uint64, withCells bool, binary, folder string) (*SocketLab, error) {
+	s := newSocketLab(exp, seed, binary, folder)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
 		return nil, err
 	}
@@ -59,10 +61,10 @@
 	if err := s.writeFiles(); err != nil {
 		return nil, err
 	}
-	if exp.Plan != nil {
-		s.cellOf = exp.Plan.AssignHosts(list)
+	if exp.CellPlan != nil {
+		s.cellOf = exp.CellPlan.AssignHosts(list)
 		if withCells {
-			s.plan = exp.Plan
+			s.plan = exp.CellPlan
 		}
 	}
 	if err := s.startBalancers(); err != nil {
@@ -71,37 +73,37 @@
 	return s, nil
 }
 
-func newSockets(exp *Experiment, seed uint64, binary, folder string) *Sockets {
-	s := &Sockets{
+func newSocketLab(exp *Experiment, seed uint64, binary, folder string) *SocketLab {
+	s := &SocketLab{
 		exp: exp, binary: binary, folder: folder, rng: rand.New(rand.NewPCG(seed, 7)), began: time.Now(),
-		hosts: map[string]*standIn{}, specs: exp.Fleet(seed),
-		reach: true, rev: 1, news: make(chan struct{}),
-		weight: map[string]float64{}, live: map[*client]bool{},
-		audit: newAudit(),
+		hosts: map[string]*simulatedHost{}, specs: exp.Fleet(seed),
+		discoveryUp: true, revision: 1, listChanged: make(chan struct{}),
+		loadFactors: map[string]float64{}, liveClients: map[*client]bool{},
+		auditor: newAuditor(),
 	}
 	s.ctx, s.stop = context.WithCancel(context.Background())
 	return s
 }
 
-// startHosts starts the desk hosts, and lists them.
-func (s *Sockets) startHosts() (list []policy.Server, err error) {
+// startHosts starts the simulated desk hosts and lists them.
+func (s *SocketLab) startHosts() (list []policy.Server, err error) {
 	for _, spec := range s.specs {
 		age := time.Duration(370+s.rng.IntN(930)) * time.Millisecond
-		h := &standIn{lab: s, Machine: NewMachine(spec, age), held: map[string]*desk{}, conns: map[net.Conn]bool{}}
+		h := &simulatedHost{lab: s, Machine: NewMachine(spec, age), held: map[string]*heldConnection{}, conns: map[net.Conn]bool{}}
 		h.state = policy.Ready
 		s.hosts[spec.ID] = h
 		if err := h.listen(); err != nil {
 			return nil, err
 		}
-		list = append(list, policy.Server{ID: spec.ID, Zone: spec.Room, Kind: spec.Kind, Cell: spec.Number})
+		list = append(list, policy.Server{ID: spec.ID, Zone: spec.Room, Kind: spec.Kind, Cell: spec.CellNumber})
 	}
 	return list, nil
 }
 
-func (s *Sockets) now() time.Duration { return time.Duration(time.Now().UnixNano()) }
+func (s *SocketLab) now() time.Duration { return time.Duration(time.Now().UnixNano()) }
 
-// sleep waits; false if the experiment has ended meanwhile.
-func (s *Sockets) sleep(d time.Duration) bool {
+// sleep waits; it returns false if the experiment ends in the meantime.
+func (s *SocketLab) sleep(d time.Duration) bool {
 	select {
 	case <-time.After(d):
 		return true
@@ -110,20 +112,20 @@
 	}
 }
 
-// sleepUntil waits until a moment; false if the experiment has ended meanwhile.
-func (s *Sockets) sleepUntil(moment time.Time) bool { return s.sleep(time.Until(moment)) }
+// sleepUntil waits until a moment; it returns false if the experiment ends in the meantime.
+func (s *SocketLab) sleepUntil(moment time.Time) bool { return s.sleep(time.Until(moment)) }
 
-// Close ends the balancers and the stand-ins.
-func (s *Sockets) Close() {
+// Close stops the balancers and the simulated hosts.
+func (s *SocketLab) Close() {
 	s.stop()
-	for _, n := range s.nodes {
+	for _, n := range s.balancers {
 		if n.cmd != nil && n.cmd.Process != nil {
 			_ = n.cmd.Process.Kill()
-			<-n.done
+			<-n.exited
 		}
 	}
-	s.clients.Wait()
+	s.tasks.Wait()
 	for _, h := range s.hosts {
-		h.end()
+		h.shutDown()
 	}
 }
--- a/internal/lab/sockets_balancer.go
+++ b/internal/lab/sockets_balancer.go
@@ -12,79 +12,80 @@
 	"time"
 )
 
-// node is one balancer process and the addresses that are its own.
-type node struct {
+// balancerProcess is a balancer process with its addresses.
+type balancerProcess struct {
 	name, room               string
 	listen, admin, discovery string
 	cmd                      *exec.Cmd
 	down                     bool
-	frozen                   bool                 // stopped: the kernel still takes connections, so clients keep coming
-	thawed                   time.Time            // its last wake: what was sent before it, it could not answer in time
-	told                     map[string]time.Time // drains, by desk host
-	done                     chan error
+	frozen                   bool                 // stopped by SIGSTOP; the kernel still accepts connections, so clients keep connecting
+	resumedAt                time.Time            // end of its last freeze; requests sent before it could not be answered in time
+	drainNotices             map[string]time.Time // when discovery first listed a desk host as draining, by host
+	exited                   chan error
 	log                      *os.File
 }
 
-// startBalancers starts all balancers, and waits until they serve.
-func (s *Sockets) startBalancers() error {
-	ports := heldPorts{}
-	defer ports.letGoAll()
+// startBalancers starts all balancers and waits until they are ready.
+func (s *SocketLab) startBalancers() error {
+	ports := reservedPorts{}
+	defer ports.releaseAll()
 	for i := range s.exp.Balancers {
-		n, err := s.newNode(i, ports)
+		n, err := s.newBalancerProcess(i, ports)
 		if err != nil {
 			return err
 		}
-		s.nodes = append(s.nodes, n)
+		s.balancers = append(s.balancers, n)
 	}
-	if err := allDiffer(s.nodes); err != nil {
+	if err := checkDistinctAddresses(s.balancers); err != nil {
 		return err
 	}
-	for _, n := range s.nodes {
-		ports.letGo(n)
+	for _, n := range s.balancers {
+		ports.release(n)
 		if err := s.launch(n); err != nil {
 			return err
 		}
 	}
-	for _, n := range s.nodes {
-		if err := s.ready(n); err != nil {
+	for _, n := range s.balancers {
+		if err := s.waitReady(n); err != nil {
 			return err
 		}
 	}
 	return nil
 }
 
-// newNode gives a balancer its addresses and its discovery.
-func (s *Sockets) newNode(i int, ports heldPorts) (n *node, err error) {
-	n = &node{name: fmt.Sprintf("n%d", i), room: s.exp.balancerRoom(i), told: map[string]time.Time{}}
-	if n.listen, err = ports.hold(n); err != nil {
+// newBalancerProcess reserves a balancer's ports and starts its discovery server.
+func (s *SocketLab) newBalancerProcess(i int, ports reservedPorts) (n *balancerProcess, err error) {
+	n = &balancerProcess{name: fmt.Sprintf("n%d", i), room: s.exp.balancerRoom(i), drainNotices: map[string]time.Time{}}
+	if n.listen, err = ports.reserve(n); err != nil {
 		return nil, err
 	}
-	if n.admin, err = ports.hold(n); err != nil {
+	if n.admin, err = ports.reserve(n); err != nil {
 		return nil, err
 	}
-	return n, s.discovery(n)
+	return n, s.serveDiscovery(n)
 }
 
-// balancerSettings are the settings of the operators' page; the number of balancers and the room are filled in.
+// balancerSettings are the settings that the operators' documentation gives; the number of balancers and the room are
+// filled in.
 const balancerSettings = `{"allowed":{"tryLimit":6,"connectTimeout":150000000,"retryAfter":true,"probing":true},"discovery":"subscribe","tick":4000000,"siblings":%d,
 "familyInfo":{"groups":true,"mode":"pass","messageAim":[250000000,50000000]},"locality":%q,
 "grades":[{"name":"lookup","aim":300000000,"deadline":1200000000,"effect":"safe","dedupScope":"all"},
 {"name":"seat-set","aim":300000000,"deadline":1200000000,"effect":"safe","dedupScope":"all"}],
 "invariants":{"askWithin":10000000000,"coldFrom":0.15,"fall":1000000000,"overloadFactor":3,"stopSendingWithin":300000000,"warmAfter":22000000000}}`
 
-// balancerConfig is a balancer's configuration with what is its own filled in.
+// balancerConfig is the configuration of a balancer; its own values are filled in.
 const balancerConfig = `{"name":%q,"listen":%q,"discovery":%q,"admin_addr":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":8192},"known":%s,"settings":%s}`
 
-func (s *Sockets) config(n *node) []byte {
+func (s *SocketLab) config(n *balancerProcess) []byte {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	settings := fmt.Sprintf(balancerSettings, s.exp.Balancers, n.room)
-	return fmt.Appendf(nil, balancerConfig, n.name, n.listen, n.discovery, n.admin, s.rng.Uint32(), s.list(-1), settings)
+	return fmt.Appendf(nil, balancerConfig, n.name, n.listen, n.discovery, n.admin, s.rng.Uint32(), s.hostListJSON(-1), settings)
 }
 
-// launch starts a balancer; its log goes on where an earlier process of it ended.
-func (s *Sockets) launch(n *node) error {
-	if s.plan != nil && s.exp.Operator == "" && s.exp.Placed == nil {
+// launch starts a balancer process; its log is appended to that of an earlier process.
+func (s *SocketLab) launch(n *balancerProcess) error {
+	if s.plan != nil && s.exp.Operator == "" && s.exp.PlacementPlan == nil {
 		return errors.New("an experiment on sockets takes its cells from an operator's file")
 	}
 	folder := filepath.Join(s.folder, n.name)
@@ -106,32 +107,32 @@
 	if err := n.cmd.Start(); err != nil {
 		return err
 	}
-	n.done = make(chan error, 1)
-	go s.await(n, n.cmd, log, n.done)
+	n.exited = make(chan error, 1)
+	go s.waitExit(n, n.cmd, log, n.exited)
 	return nil
 }
 
-func (s *Sockets) environment(config, folder string) []string {
+func (s *SocketLab) environment(config, folder string) []string {
 	env := []string{"EDGE_CONFIG=" + config, "TMPDIR=" + folder}
-	if s.exp.Placed != nil || s.exp.Record || s.plan != nil {
+	if s.exp.PlacementPlan != nil || s.exp.Record || s.plan != nil {
 		env = append(env, "EDGE_OPERATOR="+filepath.Join(s.folder, operatorFile))
 	}
 	return env
 }
 
-// await waits for the end of a balancer's process, and counts one that nobody asked for.
-func (s *Sockets) await(n *node, cmd *exec.Cmd, log io.Closer, done chan<- error) {
-	done <- cmd.Wait()
+// waitExit waits for the end of a balancer's process, and counts it as a crash if the lab did not stop it.
+func (s *SocketLab) waitExit(n *balancerProcess, cmd *exec.Cmd, log io.Closer, exited chan<- error) {
+	exited <- cmd.Wait()
 	_ = log.Close()
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !n.down && s.ctx.Err() == nil {
-		s.audit.crashed++
+		s.auditor.crashed++
 	}
 }
 
-// ready waits until a balancer says yes.
-func (s *Sockets) ready(n *node) error {
+// waitReady waits until a balancer reports that it is healthy.
+func (s *SocketLab) waitReady(n *balancerProcess) error {
 	deadline := time.Now().Add(10 * time.Second)
 	for time.Now().Before(deadline) {
 		resp, err := http.Get("http://" + n.admin + "/admin/health")
@@ -150,9 +151,9 @@
 	return fmt.Errorf("%s: not ready within 10 s; its log is in %s", n.name, s.folder)
 }
 
-// Stats are the figures of a balancer's second address.
-func (s *Sockets) Stats(i int) (string, error) {
-	resp, err := http.Get("http://" + s.nodes[i].admin + "/admin/stats")
+// Stats returns the figures at a balancer's admin address.
+func (s *SocketLab) Stats(i int) (string, error) {
+	resp, err := http.Get("http://" + s.balancers[i].admin + "/admin/stats")
 	if err != nil {
 		return "", err
 	}
@@ -161,21 +162,21 @@
 	return string(body), err
 }
 
-// Report has all balancers print their counters to their logs.
-func (s *Sockets) Report() {
-	for i, n := range s.nodes {
+// PrintCounters has all balancers print their counters to their logs.
+func (s *SocketLab) PrintCounters() {
+	for i, n := range s.balancers {
 		_ = n.cmd.Process.Signal(syscall.SIGUSR1)
-		_, _ = s.Stats(i) // answered after the print, as both are done on the loop in turn
+		_, _ = s.Stats(i) // the event loop answers this after it has printed the counters
 	}
 }
 
-// Addresses are where clients and operators reach a balancer.
-func (s *Sockets) Addresses(i int) (clients, operators string) {
-	return s.nodes[i].listen, s.nodes[i].admin
+// Addresses are the addresses of a balancer for clients and for operators.
+func (s *SocketLab) Addresses(i int) (clients, operators string) {
+	return s.balancers[i].listen, s.balancers[i].admin
 }
 
-// restart stops a balancer as planned restarts do, and starts it from nothing.
-func (s *Sockets) restart(n *node) {
+// restart stops a balancer as a planned restart does, by SIGTERM and later SIGKILL, and starts it again with no state.
+func (s *SocketLab) restart(n *balancerProcess) {
 	s.mu.Lock()
 	n.down = true
 	s.mu.Unlock()
@@ -184,11 +185,11 @@
 		return
 	}
 	_ = n.cmd.Process.Kill()
-	<-n.done
+	<-n.exited
 	if !s.sleep(300 * time.Millisecond) {
 		return
 	}
-	if s.launch(n) == nil && s.ready(n) == nil {
+	if s.launch(n) == nil && s.waitReady(n) == nil {
 		s.mu.Lock()
 		n.down = false
 		s.mu.Unlock()
--- a/internal/lab/sockets_discovery.go
+++ b/internal/lab/sockets_discovery.go
@@ -12,20 +12,20 @@
 	"tealtiller/policy"
 )
 
-// change is one of what discovery tells, under its revision.
+// change is a change of a host's state, with the revision of the host list that has it.
 type change struct {
-	rev   int64
-	state policy.State
-	id    string
+	revision int64
+	state    policy.State
+	id       string
 }
 
-var phases = map[policy.State]string{policy.Ready: "in_service", policy.Draining: "terminating", policy.Gone: "terminated"}
+var phaseNames = map[policy.State]string{policy.Ready: "in_service", policy.Draining: "terminating", policy.Gone: "terminated"}
 
-// list is the host list since a revision, -1 for the whole.
-func (s *Sockets) list(since int64) string {
+// hostListJSON is the host list with the changes since a revision, or the complete list for -1.
+func (s *SocketLab) hostListJSON(since int64) string {
 	changed := map[string]bool{}
 	for _, c := range s.changes {
-		if c.rev > since {
+		if c.revision > since {
 			changed[c.id] = true
 		}
 	}
@@ -37,30 +37,31 @@
 		}
 		started := h.Started.Milliseconds()
 		members = append(members, fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":%q,"flavor":%q,"cell":%d,"phase":%q,"size":%.3f,"up_since_ms":%d}`,
-			spec.ID, h.address, spec.Room, spec.Kind, spec.Number, phases[h.state], s.exp.size(spec), started))
+			spec.ID, h.address, spec.Room, spec.Kind, spec.CellNumber, phaseNames[h.state], s.exp.listedSize(spec), started))
 	}
-	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, s.rev, since < 0, strings.Join(members, ","))
+	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, s.revision, since < 0, strings.Join(members, ","))
 }
 
-// tell changes what discovery knows of a host.
-func (s *Sockets) tell(id string, state policy.State) {
+// updateHost changes the state that discovery lists for a host.
+func (s *SocketLab) updateHost(id string, state policy.State) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.rev++
+	s.revision++
 	s.hosts[id].state = state
-	s.changes = append(s.changes, change{s.rev, state, id})
-	close(s.news)
-	s.news = make(chan struct{})
+	s.changes = append(s.changes, change{s.revision, state, id})
+	close(s.listChanged)
+	s.listChanged = make(chan struct{})
 }
 
-// discovery serves one balancer at an address of its own, so that it is known what that one was told and when.
-func (s *Sockets) discovery(n *node) error {
+// serveDiscovery serves one balancer at an address of its own, so that the lab knows which changes this balancer was
+// notified of, and when.
+func (s *SocketLab) serveDiscovery(n *balancerProcess) error {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return err
 	}
 	n.discovery = l.Addr().String()
-	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.answer(n, w, r) })}
+	server := &http.Server{Handler: http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) { s.handleDiscovery(n, w, r) })}
 	go func() { _ = server.Serve(l) }()
 	go func() {
 		<-s.ctx.Done()
@@ -69,71 +70,71 @@
 	return nil
 }
 
-// longestWatch bounds for how long a call may wait for news.
-const longestWatch = time.Minute
+// maxWatch is the maximum time that a call may wait for a change.
+const maxWatch = time.Minute
 
-// answer answers a call for the list, or waits for news first.
-func (s *Sockets) answer(n *node, w http.ResponseWriter, r *http.Request) {
+// handleDiscovery answers a call for the list; a call with a revision first waits for a newer one.
+func (s *SocketLab) handleDiscovery(n *balancerProcess, w http.ResponseWriter, r *http.Request) {
 	since, err := strconv.ParseInt(r.URL.Query().Get("since"), 10, 64)
 	if err != nil {
 		since = -1
 	}
 	ms, _ := strconv.Atoi(r.URL.Query().Get("timeout_ms"))
-	limit := min(time.Duration(ms)*time.Millisecond, longestWatch)
-	switch s.awaitNews(since, limit) {
+	limit := min(time.Duration(ms)*time.Millisecond, maxWatch)
+	switch s.awaitChange(since, limit) {
 	case unreachable:
-		http.Error(w, "out of reach", http.StatusServiceUnavailable)
-	case toAnswer:
-		body := s.answerTo(n, since)
+		http.Error(w, "discovery is unreachable", http.StatusServiceUnavailable)
+	case answerNow:
+		body := s.answerFor(n, since)
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
 		_, _ = io.WriteString(w, body)
 	}
 }
 
-// watchEnd is why a call has waited long enough.
-type watchEnd int
+// watchResult is why a call stopped waiting.
+type watchResult int
 
 const (
-	toAnswer watchEnd = iota
+	answerNow watchResult = iota
 	unreachable
 	experimentOver
 )
 
-// awaitNews waits until there is something newer than a revision, for so long at the most.
-func (s *Sockets) awaitNews(since int64, most time.Duration) watchEnd {
-	limit := time.After(most)
+// awaitChange waits until the list is newer than a revision, at most for maxWait.
+func (s *SocketLab) awaitChange(since int64, maxWait time.Duration) watchResult {
+	timeout := time.After(maxWait)
 	for {
 		s.mu.Lock()
-		reach, rev, news := s.reach, s.rev, s.news
+		up, revision, changed := s.discoveryUp, s.revision, s.listChanged
 		s.mu.Unlock()
-		if !reach {
+		if !up {
 			return unreachable
 		}
-		if since < 0 || rev > since {
-			return toAnswer
+		if since < 0 || revision > since {
+			return answerNow
 		}
 		select {
-		case <-news:
-		case <-limit:
-			return toAnswer
+		case <-changed:
+		case <-timeout:
+			return answerNow
 		case <-s.ctx.Done():
 			return experimentOver
 		}
 	}
 }
 
-// answerTo is the list since a revision; it notes which drains the balancer is told of by it.
-func (s *Sockets) answerTo(n *node, since int64) string {
+// answerFor is the answer for a balancer that knows a revision; it records which drains the balancer is notified of.
+func (s *SocketLab) answerFor(n *balancerProcess, since int64) string {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	for _, c := range s.changes {
 		switch {
-		case c.rev <= since:
+		case c.revision <= since:
 		case c.state == policy.Ready:
-			delete(n.told, c.id)
-		case n.told[c.id].IsZero():
-			n.told[c.id] = time.Now()
+			delete(n.drainNotices, c.id)
+		case n.drainNotices[c.id].IsZero():
+			n.drainNotices[c.id] = time.Now()
 		}
 	}
-	return s.list(since)
+	return s.hostListJSON(since)
 }
--- a/internal/lab/sockets_fault.go
+++ b/internal/lab/sockets_fault.go
@@ -8,181 +8,181 @@
 	"tealtiller/policy"
 )
 
-// fault plays a fault from its begin to its end.
-func (s *Sockets) fault(f Fault) {
+// playFault plays a fault from its start to its end.
+func (s *SocketLab) playFault(f Fault) {
 	s.mu.Lock()
-	hit, until := f.hit(s.rng, s.specs, s.cellOf), span(f.For)
+	affected, length := f.affectedHosts(s.rng, s.specs, s.cellOf), parsedDuration(f.For)
 	s.mu.Unlock()
 	switch f.Kind {
 	case "crash":
-		s.crash(hit, until)
+		s.crash(affected, length)
 	case "drain":
-		s.drain(hit, until, f.Size > 0)
+		s.drain(affected, length, f.Size > 0)
 	case "deploy":
-		s.deploy(hit, until)
+		s.deploy(affected, length)
 	case "errors":
-		s.forAWhile(until, func(on bool) { s.failAt(hit, f.Size, on) })
+		s.applyFor(length, func(on bool) { s.setErrorRate(affected, f.Size, on) })
 	case "heavy":
-		s.forAWhile(until, func(on bool) { s.weigh(f.Carrier, f.Size, on) })
+		s.applyFor(length, func(on bool) { s.setLoadFactor(f.Carrier, f.Size, on) })
 	case "discovery":
-		s.forAWhile(until, func(on bool) { s.setReach(!on) })
+		s.applyFor(length, func(on bool) { s.setDiscoveryUp(!on) })
 	case "drop":
 		s.dropClients(f)
 	case "restart":
-		s.restart(s.nodes[len(s.nodes)-1])
+		s.restart(s.balancers[len(s.balancers)-1])
 	case "freeze":
-		s.freeze(f.Part, until)
+		s.freeze(f.Part, length)
 	case "dark", "one-way":
-		s.darken(f.Room, hit, until, f.Kind == "one-way")
+		s.darkenRoom(f.Room, affected, length, f.Kind == "one-way")
 	}
 }
 
-// forAWhile switches something on, and off after a time; at the end of the experiment it stays on.
-func (s *Sockets) forAWhile(until time.Duration, set func(on bool)) {
+// applyFor switches a fault on, and off again after a time; if the experiment ends first, it stays on.
+func (s *SocketLab) applyFor(length time.Duration, set func(on bool)) {
 	set(true)
-	if s.sleep(until) {
+	if s.sleep(length) {
 		set(false)
 	}
 }
 
-// crash ends hosts; discovery tells it a second later.
-func (s *Sockets) crash(hit []Spec, until time.Duration) {
-	for _, spec := range hit {
-		s.hosts[spec.ID].end()
+// crash stops hosts; discovery lists them as gone a second later.
+func (s *SocketLab) crash(affected []Spec, length time.Duration) {
+	for _, spec := range affected {
+		s.hosts[spec.ID].shutDown()
 	}
 	s.sleep(time.Second)
-	for _, spec := range hit {
-		s.tell(spec.ID, policy.Gone)
+	for _, spec := range affected {
+		s.updateHost(spec.ID, policy.Gone)
 	}
-	if s.sleep(until - time.Second) {
-		s.allBack(hit)
+	if s.sleep(length - time.Second) {
+		s.startAll(affected)
 	}
 }
 
-// drain has hosts drain for a time and leave; where they return, they are back, cold, a second later.
-func (s *Sockets) drain(hit []Spec, until time.Duration, returns bool) {
-	for _, spec := range hit {
-		s.tell(spec.ID, policy.Draining)
+// drain lets hosts drain for a time and then stops them; if they return, they start cold a second later.
+func (s *SocketLab) drain(affected []Spec, length time.Duration, returns bool) {
+	for _, spec := range affected {
+		s.updateHost(spec.ID, policy.Draining)
 	}
-	if !s.sleep(until) {
+	if !s.sleep(length) {
 		return
 	}
-	for _, spec := range hit {
-		s.hosts[spec.ID].end()
-		s.tell(spec.ID, policy.Gone)
+	for _, spec := range affected {
+		s.hosts[spec.ID].shutDown()
+		s.updateHost(spec.ID, policy.Gone)
 	}
 	if returns && s.sleep(time.Second) {
-		s.allBack(hit)
+		s.startAll(affected)
 	}
 }
 
-// deploy replaces hosts in batches; each drains, leaves, and is back, cold, a second later.
-func (s *Sockets) deploy(hit []Spec, until time.Duration) {
-	batch := max(len(hit)/deployBatches, 1)
-	for len(hit) > 0 {
-		now := hit[:min(batch, len(hit))]
-		hit = hit[len(now):]
-		s.clients.Add(1)
+// deploy replaces hosts in batches; each host drains, stops and starts cold a second later.
+func (s *SocketLab) deploy(affected []Spec, length time.Duration) {
+	batch := max(len(affected)/deployBatches, 1)
+	for len(affected) > 0 {
+		current := affected[:min(batch, len(affected))]
+		affected = affected[len(current):]
+		s.tasks.Add(1)
 		go func() {
-			defer s.clients.Done()
-			s.drain(now, deployDrain, true)
+			defer s.tasks.Done()
+			s.drain(current, deployDrain, true)
 		}()
-		if !s.sleep(until / deployBatches) {
+		if !s.sleep(length / deployBatches) {
 			return
 		}
 	}
 }
 
-// failAt has hosts fail a share of what they are asked.
-func (s *Sockets) failAt(hit []Spec, share float64, on bool) {
+// setErrorRate lets hosts fail a share of the openings, or none again.
+func (s *SocketLab) setErrorRate(affected []Spec, share float64, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !on {
 		share = 0
 	}
-	for _, spec := range hit {
+	for _, spec := range affected {
 		s.hosts[spec.ID].ErrorRate = share
 	}
 }
 
-// weigh has each new connection of a carrier weigh more.
-func (s *Sockets) weigh(carrier string, times float64, on bool) {
+// setLoadFactor multiplies the load of each new connection of a carrier, or resets it.
+func (s *SocketLab) setLoadFactor(carrier string, factor float64, on bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if !on {
-		times = 0
+		factor = 0
 	}
-	s.weight[carrier] = times
+	s.loadFactors[carrier] = factor
 }
 
-// setReach tells whether discovery answers, also those that wait there.
-func (s *Sockets) setReach(reach bool) {
+// setDiscoveryUp sets whether discovery is reachable; calls that are waiting are woken.
+func (s *SocketLab) setDiscoveryUp(up bool) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	s.reach = reach
-	close(s.news)
-	s.news = make(chan struct{})
+	s.discoveryUp = up
+	close(s.listChanged)
+	s.listChanged = make(chan struct{})
 }
 
-// dropClients has a part of the clients, of one carrier where named, drop their connections and come again.
-func (s *Sockets) dropClients(f Fault) {
+// dropClients has a share of the clients, of one carrier where named, drop their connections and reconnect.
+func (s *SocketLab) dropClients(f Fault) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for c := range s.live {
+	for c := range s.liveClients {
 		if (f.Carrier == "" || c.carrier == f.Carrier) && s.rng.Float64() < f.Part {
-			c.drop()
+			c.dropConnection()
 		}
 	}
 }
 
-// freeze stops a part of the balancers, which then go on with what they believed.
-func (s *Sockets) freeze(part float64, until time.Duration) {
-	frozen := s.nodes[:int(math.Ceil(part*float64(len(s.nodes))-1e-9))]
+// freeze stops a share of the balancers for a time; afterwards they continue with outdated state.
+func (s *SocketLab) freeze(share float64, length time.Duration) {
+	frozen := s.balancers[:int(math.Ceil(share*float64(len(s.balancers))-1e-9))]
 	for _, n := range frozen {
 		s.mu.Lock()
 		n.frozen = true
 		s.mu.Unlock()
 		_ = n.cmd.Process.Signal(syscall.SIGSTOP)
 	}
-	s.sleep(until)
+	s.sleep(length)
 	for _, n := range frozen {
 		_ = n.cmd.Process.Signal(syscall.SIGCONT)
 		s.mu.Lock()
-		n.frozen, n.thawed = false, time.Now()
+		n.frozen, n.resumedAt = false, time.Now()
 		s.mu.Unlock()
 	}
 }
 
-// darken cuts a room off, both ways or, where its hosts still hear, one way.
-func (s *Sockets) darken(room string, hit []Spec, until time.Duration, hears bool) {
+// darkenRoom cuts a room off for a time, in both directions or, if its hosts accept what arrives, only their answers.
+func (s *SocketLab) darkenRoom(room string, affected []Spec, length time.Duration, accepts bool) {
 	s.mu.Lock()
-	s.darkRoom, s.darkAt, s.lastDark = room, time.Now(), map[*node]time.Duration{}
-	for _, spec := range hit {
-		s.hosts[spec.ID].dark, s.hosts[spec.ID].takes = true, hears
+	s.darkRoom, s.darkAt, s.lastDarkAttempt = room, time.Now(), map[*balancerProcess]time.Duration{}
+	for _, spec := range affected {
+		s.hosts[spec.ID].dark, s.hosts[spec.ID].acceptsWhileDark = true, accepts
 	}
 	s.mu.Unlock()
-	if !s.sleep(until) {
+	if !s.sleep(length) {
 		return
 	}
-	for _, spec := range hit {
-		s.hosts[spec.ID].light()
+	for _, spec := range affected {
+		s.hosts[spec.ID].endDarkness()
 	}
 	s.mu.Lock()
 	defer s.mu.Unlock()
-	for _, n := range s.nodes {
-		s.audit.Quiet = append(s.audit.Quiet, s.lastDark[n])
+	for _, n := range s.balancers {
+		s.auditor.LastDarkAttempts = append(s.auditor.LastDarkAttempts, s.lastDarkAttempt[n])
 	}
 	s.darkRoom = ""
 }
 
-func (s *Sockets) allBack(specs []Spec) {
+func (s *SocketLab) startAll(specs []Spec) {
 	for _, spec := range specs {
-		s.back(spec)
+		s.startHost(spec)
 	}
 }
 
-// back starts a host, cold, at its old address.
-func (s *Sockets) back(spec Spec) {
+// startHost starts a host, cold, at its previous address.
+func (s *SocketLab) startHost(spec Spec) {
 	h := s.hosts[spec.ID]
 	if err := h.listen(); err != nil {
 		return
@@ -190,5 +190,5 @@
 	s.mu.Lock()
 	h.Start(s.now())
 	s.mu.Unlock()
-	s.tell(spec.ID, policy.Ready)
+	s.updateHost(spec.ID, policy.Ready)
 }
--- a/internal/lab/sockets_files.go
+++ b/internal/lab/sockets_files.go
@@ -9,48 +9,48 @@
 	"tealtiller/internal/placement"
 )
 
-// The files of an experiment on sockets, in its folder.
+// Names of the files in the folder of an experiment on sockets.
 const (
 	operatorFile = "operator.hcl"
 	planFile     = "plan.json"
 )
 
-// writeFiles writes the operator's file, where the experiment has one, and the plan of placement.
-func (s *Sockets) writeFiles() error {
+// writeFiles writes the operator's file, if the experiment has one, and the placement plan.
+func (s *SocketLab) writeFiles() error {
 	if s.exp.Operator != "" {
 		if err := s.writeOperatorFile(); err != nil {
 			return err
 		}
 	}
-	if s.exp.Placed != nil || s.exp.Record {
+	if s.exp.PlacementPlan != nil || s.exp.Record {
 		return s.writePlacement()
 	}
 	return nil
 }
 
-// writeOperatorFile writes it anew: its moments count from here.
-func (s *Sockets) writeOperatorFile() error {
-	text, plan, err := s.exp.operatorFile()
+// writeOperatorFile reads the operator's file again before it writes it, so that relative times count from now.
+func (s *SocketLab) writeOperatorFile() error {
+	text, plan, err := s.exp.readOperatorFile()
 	if err != nil {
 		return err
 	}
-	s.exp.Plan = plan
-	return s.write(operatorFile, text)
+	s.exp.CellPlan = plan
+	return s.writeFile(operatorFile, text)
 }
 
-// writePlacement has the balancers told of the plan and of where their records go.
-func (s *Sockets) writePlacement() error {
+// writePlacement writes an operator's file that names the placement plan and the files for the balancers' records.
+func (s *SocketLab) writePlacement() error {
 	text := ""
-	if s.exp.Plan != nil && s.exp.Operator == "" {
+	if s.exp.CellPlan != nil && s.exp.Operator == "" {
 		text = roomCells
 	}
 	text += "placement {\n"
-	if s.exp.Placed != nil {
-		plan, err := json.Marshal(s.exp.Placed)
+	if s.exp.PlacementPlan != nil {
+		plan, err := json.Marshal(s.exp.PlacementPlan)
 		if err != nil {
 			return err
 		}
-		if err := s.write(planFile, plan); err != nil {
+		if err := s.writeFile(planFile, plan); err != nil {
 			return err
 		}
 		text += "  plan = \"" + planFile + "\"\n"
@@ -58,17 +58,17 @@
 	if s.exp.Record {
 		text += "  record = \"record-{name}.jsonl\"\n  record_every = \"1s\"\n"
 	}
-	return s.write(operatorFile, []byte(text+"}\n"))
+	return s.writeFile(operatorFile, []byte(text+"}\n"))
 }
 
-func (s *Sockets) write(name string, text []byte) error {
+func (s *SocketLab) writeFile(name string, text []byte) error {
 	return os.WriteFile(filepath.Join(s.folder, name), text, 0o600)
 }
 
-// Gather makes a fleet of what the balancers recorded.
-func (s *Sockets) Gather() (*placement.Fleet, error) {
+// GatherRecords builds a fleet from the balancers' records.
+func (s *SocketLab) GatherRecords() (*placement.Fleet, error) {
 	g := placement.NewFleetBuilder(placement.DefaultClassLoads(), placement.DefaultPrices().PerHostOverhead, time.Second)
-	for _, n := range s.nodes {
+	for _, n := range s.balancers {
 		f, err := os.Open(filepath.Join(s.folder, "record-"+n.name+".jsonl"))
 		if err != nil {
 			return nil, err
--- a/internal/lab/sockets_outcome.go
+++ b/internal/lab/sockets_outcome.go
@@ -8,56 +8,56 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what the auditor and the clients saw.
+// Outcome is what the auditor and the clients observed. It is written as JSON under the names of its fields.
 type Outcome struct {
 	Opens, Served, Refused, Failed int
 	Lost                           int // without a final answer in time
-	Doubled                        int // with a second one
+	Doubled                        int // with a second final answer
 	TwoInFlight                    int
-	MostAttempts                   int
-	Foreign                        int // attempts written to a host outside the client's cell
-	LateDrains                     int // attempts later than 350 ms after the drain was told
-	Fallen                         int // cold hosts pushed over
-	Cut                            int // connections cut off without MOVE while their desk host still answered
+	MaxAttempts                    int `json:"MostAttempts"` // for one OPEN
+	Foreign                        int // new attempts at a host outside the client's cell
+	LateDrains                     int // new attempts more than 350 ms after the balancer was notified of the host's drain
+	OverloadFailures               int `json:"Fallen"` // cold hosts that failed from overload
+	Cut                            int // connections that ended without MOVE while their desk host still held them
 	Moves                          int
-	Followed                       int             // of them told to clients that stood in a cell that their flight had left
-	MovedTwice                     int             // clients to which that happened more than once
+	PlanMoves                      int             `json:"Followed"` // moves of clients in a cell that their flight had left
+	MovedTwice                     int             // clients moved more than once for that reason
 	Crashed                        int             // balancers that ended by themselves
-	Unheard                        int             // set-ups taken by a host cut one way, whose UP was lost
-	Again                          int             // OPENs unanswered by a balancer that was down or frozen, whose clients came again
-	Near, Sent                     int             // new attempts to a host in the balancer's own room, and all, while no room was dark
-	Quiet                          []time.Duration // by balancer: its last new attempt into a dark room, after it went dark
-	Worth                          Worth           // seconds are lines here
+	LostUps                        int             `json:"Unheard"` // connections established by a host cut off one way, whose UP was lost
+	Reopened                       int             `json:"Again"`   // OPENs not answered by a balancer that was down or frozen, whose clients reconnected
+	Near, Sent                     int             // new attempts at a host in the balancer's own room, and all new attempts, while no room was dark
+	LastDarkAttempts               []time.Duration `json:"Quiet"` // by balancer: time of its last new attempt into a dark room, from when the room went dark
+	Worth                          Worth           // counted in lines, not seconds
 	Cells                          map[string]*Group
 	Carriers                       map[string]*Group
 }
 
-// Group is the figures of a cell's or carrier's usual clients.
+// Group is the figures of the clients of a cell or carrier, without those of hot keys.
 type Group struct {
 	Opens, Served, Refused, Failed int
-	setups, lines                  *hdrhistogram.Histogram
+	setupTimes, lineTimes          *hdrhistogram.Histogram
 }
 
 func newGroup() *Group {
-	return &Group{setups: hdrhistogram.New(1, 60_000_000, 3), lines: hdrhistogram.New(1, 60_000_000, 3)}
+	return &Group{setupTimes: hdrhistogram.New(1, 60_000_000, 3), lineTimes: hdrhistogram.New(1, 60_000_000, 3)}
 }
 
-// MarshalJSON tells the percentiles in milliseconds.
+// MarshalJSON writes the percentiles in milliseconds.
 func (g *Group) MarshalJSON() ([]byte, error) {
 	ms := func(h *hdrhistogram.Histogram, q float64) float64 {
 		return math.Round(float64(h.ValueAtQuantile(q))/10) / 100
 	}
 	return json.Marshal(map[string]any{"opens": g.Opens, "served": g.Served, "refused": g.Refused, "failed": g.Failed,
-		"setup_p50_ms": ms(g.setups, 50), "setup_p99_ms": ms(g.setups, 99), "line_p50_ms": ms(g.lines, 50),
-		"line_p99_ms": ms(g.lines, 99), "lines": g.lines.TotalCount()})
+		"setup_p50_ms": ms(g.setupTimes, 50), "setup_p99_ms": ms(g.setupTimes, 99), "line_p50_ms": ms(g.lineTimes, 50),
+		"line_p99_ms": ms(g.lineTimes, 99), "lines": g.lineTimes.TotalCount()})
 }
 
-// Setup and Line are percentiles.
-func (g *Group) Setup(q float64) time.Duration {
-	return time.Duration(g.setups.ValueAtQuantile(q)) * time.Microsecond
+// SetupQuantile is a percentile of the time to establish a connection.
+func (g *Group) SetupQuantile(q float64) time.Duration {
+	return time.Duration(g.setupTimes.ValueAtQuantile(q)) * time.Microsecond
 }
 
-// Line is how long lines took.
-func (g *Group) Line(q float64) time.Duration {
-	return time.Duration(g.lines.ValueAtQuantile(q)) * time.Microsecond
+// LineQuantile is a percentile of the time to answer a line.
+func (g *Group) LineQuantile(q float64) time.Duration {
+	return time.Duration(g.lineTimes.ValueAtQuantile(q)) * time.Microsecond
 }
--- a/internal/lab/sockets_ports.go
+++ b/internal/lab/sockets_ports.go
@@ -5,14 +5,14 @@
 	"net"
 )
 
-// heldPorts are ports that no other process gets. Danger: a port let go at once may be handed out again to the next
-// balancer; two of them on one port (seen: one's listener on another's admin port, its clients never answered) would be
-// counted as lost OPENs. All are held until every balancer has its own, and each is let go just before its balancer binds
-// it.
-type heldPorts map[*node][]net.Listener
+// reservedPorts holds open listeners on the ports that balancers will use. A port that is closed at once may be
+// assigned again to the next balancer. Two balancers then share a port (it has happened that one's listener took
+// another's admin port and its clients were never answered), which would be counted as lost OPENs. All ports are
+// reserved until every balancer has its own, and each is released just before its balancer binds it.
+type reservedPorts map[*balancerProcess][]net.Listener
 
-// hold finds a port for a balancer.
-func (p heldPorts) hold(n *node) (address string, err error) {
+// reserve reserves a port for a balancer.
+func (p reservedPorts) reserve(n *balancerProcess) (address string, err error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
 		return "", err
@@ -21,27 +21,27 @@
 	return l.Addr().String(), nil
 }
 
-// letGo lets a balancer bind its ports.
-func (p heldPorts) letGo(n *node) {
+// release closes a balancer's reserved ports so that it can bind them.
+func (p reservedPorts) release(n *balancerProcess) {
 	for _, l := range p[n] {
 		_ = l.Close()
 	}
 	delete(p, n)
 }
 
-func (p heldPorts) letGoAll() {
+func (p reservedPorts) releaseAll() {
 	for n := range p {
-		p.letGo(n)
+		p.release(n)
 	}
 }
 
-// allDiffer tells which address two ends of balancers share, if any do.
-func allDiffer(nodes []*node) error {
+// checkDistinctAddresses returns an error if two listeners of the balancers share an address.
+func checkDistinctAddresses(balancers []*balancerProcess) error {
 	seen := map[string]bool{}
-	for _, n := range nodes {
+	for _, n := range balancers {
 		for _, address := range []string{n.listen, n.admin, n.discovery} {
 			if seen[address] {
-				return fmt.Errorf("%s: one port for two ends", address)
+				return fmt.Errorf("%s: assigned to two listeners", address)
 			}
 			seen[address] = true
 		}
--- a/internal/lab/sockets_run.go
+++ b/internal/lab/sockets_run.go
@@ -6,8 +6,8 @@
 	"time"
 )
 
-// Run plays the experiment and tells what was seen.
-func (s *Sockets) Run() Outcome {
+// Run plays the experiment and returns what was observed.
+func (s *SocketLab) Run() Outcome {
 	s.began = time.Now()
 	for i := range s.exp.carriers() {
 		s.startCarrier(i)
@@ -18,49 +18,49 @@
 		}
 	}
 	if s.plan.CellCount() > 0 && len(s.plan.Moves) > 0 {
-		go s.watchMove(time.Unix(0, int64(s.plan.Moves[0].Start)))
+		go s.awaitMoveStart(time.Unix(0, int64(s.plan.Moves[0].Start)))
 	}
-	s.sleepUntil(s.began.Add(span(s.exp.Duration)))
-	s.audit.closing(s)
+	s.sleepUntil(s.began.Add(parsedDuration(s.exp.Duration)))
+	s.auditor.closeMoves(s)
 	s.stop()
-	s.clients.Wait()
-	return s.audit.outcome(s)
+	s.tasks.Wait()
+	return s.auditor.outcome(s)
 }
 
-// startCarrier has the clients of a carrier come.
-func (s *Sockets) startCarrier(i int) {
+// startCarrier starts the clients of a carrier at their times of arrival.
+func (s *SocketLab) startCarrier(i int) {
 	s.mu.Lock()
 	seed := s.rng.Uint64()
 	s.mu.Unlock()
 	all := s.exp.arrivals(seed, i)
 	slices.SortStableFunc(all, func(a, b arrival) int { return cmp.Compare(a.at, b.at) })
-	s.clients.Add(1)
+	s.tasks.Add(1)
 	go func() {
-		defer s.clients.Done()
+		defer s.tasks.Done()
 		for _, a := range all {
 			if !s.sleepUntil(s.began.Add(a.at)) {
 				return
 			}
-			s.clients.Add(1)
-			go s.client(a)
+			s.tasks.Add(1)
+			go s.runClient(a)
 		}
 	}()
 }
 
 // startFault plays a fault at its time.
-func (s *Sockets) startFault(f Fault) {
-	s.clients.Add(1)
+func (s *SocketLab) startFault(f Fault) {
+	s.tasks.Add(1)
 	go func() {
-		defer s.clients.Done()
-		if s.sleepUntil(s.began.Add(span(f.At))) {
-			s.fault(f)
+		defer s.tasks.Done()
+		if s.sleepUntil(s.began.Add(parsedDuration(f.At))) {
+			s.playFault(f)
 		}
 	}()
 }
 
-// watchMove counts what stands as a move begins.
-func (s *Sockets) watchMove(begins time.Time) {
-	if s.sleepUntil(begins) {
-		s.audit.moveBegins(s)
+// awaitMoveStart counts the moving carrier's connections when the move begins.
+func (s *SocketLab) awaitMoveStart(start time.Time) {
+	if s.sleepUntil(start) {
+		s.auditor.moveStarted(s)
 	}
 }
--- a/internal/lab/virtual_client.go
+++ b/internal/lab/virtual_client.go
@@ -7,70 +7,70 @@
 	"tealtiller/policy"
 )
 
-// virtualHost is a desk host and what stands there.
+// virtualHost is a desk host and the clients connected to it.
 type virtualHost struct {
 	*Machine
-	standing []*virtualClient
+	clients []*virtualClient
 }
 
-// virtualClient is a client, from its first try to the end of its connection.
+// virtualClient is a client from its first try to the end of its connection.
 type virtualClient struct {
 	arrival
-	id       string
-	try      int
-	came     time.Duration // its first try
-	tryAt    time.Duration
-	home     *virtualBalancer
-	host     *virtualHost
-	index    int // among those that stand there
-	upAt     time.Duration
-	slowAt   time.Duration
-	weight   float64
-	finals   int
-	returned bool
-	harm     [harms]bool
-	again    bool // its seconds are asked for already
+	id             string
+	tries          int
+	firstTryAt     time.Duration
+	tryAt          time.Duration
+	balancer       *virtualBalancer
+	host           *virtualHost
+	index          int // among the host's clients
+	upAt           time.Duration
+	slowTimeAtUp   time.Duration
+	effectiveLoad  float64
+	finalAnswers   int
+	returned       bool
+	harm           [harmKinds]bool
+	alreadyCounted bool // its requested seconds are already counted
 }
 
-// What may harm a connection.
+// Ways in which a connection may be harmed.
 const (
 	harmUnserved = iota
 	harmBroken
 	harmLate
 	harmSlow
-	harms
+	harmKinds
 )
 
-// Of a client's ways, as the operators' pages tell them.
+// Behaviour of a client, as the operators' documentation gives it.
 const (
-	patience    = 1200 * time.Millisecond // how long it waits for an answer
-	setupAim    = 300 * time.Millisecond
-	mostRetries = 2
-	longestBack = 600 * time.Millisecond // that it heeds of what a refusal tells
-	retryJitter = 100
-	leastGap    = 74 // ms until it comes again, and how much more it may be
-	moreGap     = 1226
+	answerTimeout     = 1200 * time.Millisecond // how long a client waits for an answer
+	setupTarget       = 300 * time.Millisecond
+	maxRetries        = 2
+	maxRetryAfter     = 600 * time.Millisecond // longest retry time of a refusal that a client respects
+	retryJitterMS     = 100
+	minRetryPauseMS   = 74 // shortest pause before it reconnects; the range is added at random
+	retryPauseRangeMS = 1226
 )
 
-// open is one try of a client, at a balancer of the front's choice.
-func (v *Virtual) open(c *virtualClient) {
-	b := v.pick(c)
-	if c.try == 0 && !c.again {
-		left := virtualStart + span(v.exp.Duration) - v.now
-		v.Result.Worth.Asked += worthOf(c.class) * min(c.life, left).Seconds()
+// open plays one try of a client, at a balancer that the front chooses.
+func (v *VirtualLab) open(c *virtualClient) {
+	b := v.pickBalancer(c)
+	if c.tries == 0 && !c.alreadyCounted {
+		remaining := virtualStart + parsedDuration(v.exp.Duration) - v.now
+		v.Result.Worth.Asked += classWorth(c.class) * min(c.life, remaining).Seconds()
 	}
-	v.next++
-	c.id, c.home, c.tryAt, c.finals = fmt.Sprintf("%x", v.next), b, v.now, 0
+	v.requestCount++
+	c.id, c.balancer, c.tryAt, c.finalAnswers = fmt.Sprintf("%x", v.requestCount), b, v.now, 0
 	b.clients[c.id] = c
 	v.Result.Decisions++
-	b.fleet.Request(v.now, policy.Request{ID: c.id, Class: c.class, Key: c.group, HasKey: true, TTL: patience,
+	b.fleet.Request(v.now, policy.Request{ID: c.id, Class: c.class, Key: c.group, HasKey: true, TTL: answerTimeout,
 		Reconnecting: c.returned, Tenant: c.carrier})
 }
 
-// pick is the front's choice: any balancer, or the next one in the client's room.
-func (v *Virtual) pick(c *virtualClient) *virtualBalancer {
+// pickBalancer plays the front, which chooses any balancer, or the next one in the client's room.
+func (v *VirtualLab) pickBalancer(c *virtualClient) *virtualBalancer {
 	b := v.balancers[v.rng.IntN(len(v.balancers))]
-	room := v.exp.room(&c.arrival)
+	room := v.exp.clientRoom(&c.arrival)
 	if room == "" {
 		return b
 	}
@@ -83,118 +83,119 @@
 	return b
 }
 
-// final notes a final answer.
-func (v *Virtual) final(c *virtualClient) {
+// finalAnswer records a final answer.
+func (v *VirtualLab) finalAnswer(c *virtualClient) {
 	v.Result.Answers++
-	if c.finals++; c.finals > 1 {
+	if c.finalAnswers++; c.finalAnswers > 1 {
 		v.Result.Doubled++
 	}
 }
 
-// again has a client that was refused or failed come again, twice at the most.
-func (v *Virtual) again(c *virtualClient, after time.Duration) {
-	delete(c.home.clients, c.id)
-	if c.try++; c.try > mostRetries {
+// retry lets a client that was refused or failed try again, at most twice.
+func (v *VirtualLab) retry(c *virtualClient, after time.Duration) {
+	delete(c.balancer.clients, c.id)
+	if c.tries++; c.tries > maxRetries {
 		c.harm[harmUnserved] = true
-		v.count(c)
+		v.countClient(c)
 		return
 	}
-	jitter := time.Duration(v.rng.Float64()*retryJitter) * time.Millisecond
-	v.at(v.now+after+jitter, func() { v.open(c) })
+	jitter := time.Duration(v.rng.Float64()*retryJitterMS) * time.Millisecond
+	v.scheduleAt(v.now+after+jitter, func() { v.open(c) })
 }
 
-// stands notes that a client's connection has come up.
-func (v *Virtual) stands(c *virtualClient, h *virtualHost) {
+// connectionUp records that a client's connection is established.
+func (v *VirtualLab) connectionUp(c *virtualClient, h *virtualHost) {
 	w := &v.Result.Worth
-	if w.Placed++; v.exp.Skew > 0 && h.Room != v.exp.room(&c.arrival) {
+	if w.Placed++; v.exp.Skew > 0 && h.Room != v.exp.clientRoom(&c.arrival) {
 		w.Crossed++
 	}
-	if v.held[c.group] == nil {
-		v.held[c.group] = map[string]int{}
+	if v.flightConnections[c.group] == nil {
+		v.flightConnections[c.group] = map[string]int{}
 	}
-	v.held[c.group][h.ID]++
-	if v.now >= virtualStart+span(v.exp.Settle) {
-		w.Joined++
-		w.HeldBy += len(v.held[c.group])
+	v.flightConnections[c.group][h.ID]++
+	if v.now >= virtualStart+parsedDuration(v.exp.Settle) {
+		w.FlightSamples++
+		w.FlightHosts += len(v.flightConnections[c.group])
 	}
-	c.host, c.upAt, c.slowAt, c.index = h, v.now, h.Slow(), len(h.standing)
-	h.standing = append(h.standing, c)
-	if v.now-c.came > setupAim {
+	c.host, c.upAt, c.slowTimeAtUp, c.index = h, v.now, h.SlowTime(), len(h.clients)
+	h.clients = append(h.clients, c)
+	if v.now-c.firstTryAt > setupTarget {
 		c.harm[harmLate] = true
 	}
 }
 
-// done ends a connection that stood; count closes a client's account.
-func (v *Virtual) done(c *virtualClient) {
+// endConnection ends an established connection and counts its client.
+func (v *VirtualLab) endConnection(c *virtualClient) {
 	h := c.host
-	h.Close(v.now, c.weight, c.group)
-	slow := h.Slow() - c.slowAt
-	end := min(v.now, virtualStart+span(v.exp.Duration))
-	v.Result.Worth.Well += worthOf(c.class) * max(end-c.upAt-slow, 0).Seconds()
+	h.Close(v.now, c.effectiveLoad, c.group)
+	slow := h.SlowTime() - c.slowTimeAtUp
+	end := min(v.now, virtualStart+parsedDuration(v.exp.Duration))
+	v.Result.Worth.ServedWell += classWorth(c.class) * max(end-c.upAt-slow, 0).Seconds()
 	if slow > time.Second && slow*10 > v.now-c.upAt {
 		c.harm[harmSlow] = true
 	}
-	v.letGo(c.group, h.ID)
+	v.removeFlightConnection(c.group, h.ID)
 	h.remove(c)
 	c.host = nil
-	delete(c.home.clients, c.id)
-	v.count(c)
+	delete(c.balancer.clients, c.id)
+	v.countClient(c)
 }
 
-// letGo takes a connection of a flight off what a desk host holds of it.
-func (v *Virtual) letGo(group uint64, host string) {
-	held := v.held[group]
+// removeFlightConnection removes a connection from the counts of its flight.
+func (v *VirtualLab) removeFlightConnection(group uint64, host string) {
+	held := v.flightConnections[group]
 	if held[host] > 1 {
 		held[host]--
 		return
 	}
 	delete(held, host)
 	if len(held) == 0 {
-		delete(v.held, group)
+		delete(v.flightConnections, group)
 	}
 }
 
-// remove takes a client out of those that stand here; the last one takes its place.
+// remove removes a client from the host's clients; the last one takes its index.
 func (h *virtualHost) remove(c *virtualClient) {
-	last := len(h.standing) - 1
-	h.standing[c.index] = h.standing[last]
-	h.standing[c.index].index = c.index
-	h.standing[last] = nil
-	h.standing = h.standing[:last]
+	last := len(h.clients) - 1
+	h.clients[c.index] = h.clients[last]
+	h.clients[c.index].index = c.index
+	h.clients[last] = nil
+	h.clients = h.clients[:last]
 }
 
-func (v *Virtual) count(c *virtualClient) {
-	if c.extra {
-		return // the hot key's own
+// countClient counts a client and what harmed its connection.
+func (v *VirtualLab) countClient(c *virtualClient) {
+	if c.uncounted {
+		return // a client of a hot key, or the rest of a connection that is already counted
 	}
 	t := &v.Result.Others
-	if v.victims[c.carrier] {
-		t = &v.Result.Stricken
+	if v.targetedCarriers[c.carrier] {
+		t = &v.Result.Targeted
 	}
 	t.Connections++
-	for harm, n := range [harms]*int{&t.Unserved, &t.Broken, &t.Late, &t.Slow} {
+	for harm, n := range [harmKinds]*int{&t.Unserved, &t.Broken, &t.Late, &t.Slow} {
 		if c.harm[harm] {
 			*n++
 		}
 	}
-	if c.harm != [harms]bool{} {
+	if c.harm != [harmKinds]bool{} {
 		t.Harmed++
 	}
 }
 
-// broken takes that a connection that stood has ended before its time: the client comes again for the rest of it.
-func (v *Virtual) broken(c *virtualClient) {
-	rest := c.life - (v.now - c.upAt)
+// connectionBroken ends an established connection before its time; the client reconnects for the rest of its lifetime.
+func (v *VirtualLab) connectionBroken(c *virtualClient) {
+	remaining := c.life - (v.now - c.upAt)
 	c.harm[harmBroken] = true
-	v.done(c)
-	if rest <= 0 {
+	v.endConnection(c)
+	if remaining <= 0 {
 		return
 	}
 	next := &virtualClient{arrival: c.arrival, returned: true}
-	next.life, next.extra, next.again = rest, true, true // its account is closed
-	gap := time.Duration(leastGap+v.rng.IntN(moreGap)) * time.Millisecond
-	v.at(v.now+gap, func() {
-		next.came = v.now
+	next.life, next.uncounted, next.alreadyCounted = remaining, true, true // the client itself is already counted
+	gap := time.Duration(minRetryPauseMS+v.rng.IntN(retryPauseRangeMS)) * time.Millisecond
+	v.scheduleAt(v.now+gap, func() {
+		next.firstTryAt = v.now
 		v.open(next)
 	})
 }
--- a/internal/lab/virtual_harm.go
+++ b/internal/lab/virtual_harm.go
@@ -2,41 +2,49 @@
 
 import "time"
 
-// Harm is how many connections an experiment harmed, of the carriers that the faults are aimed at, and of all others.
+// Harm is how many connections an experiment harmed, of the carriers that the faults target and of all others. It is
+// written as JSON under the names of its fields.
 type Harm struct {
-	Stricken, Others Tally
-	Answers          int // final answers, of all tries
+	Targeted         Tally `json:"Stricken"`
+	Others           Tally
+	Answers          int // final answers of all tries
 	Lost, Doubled    int // tries without a final answer, or with a second one
 	Foreign          int // attempts at a host outside the client's cell
-	Fallen           int // cold hosts pushed over
+	OverloadFailures int `json:"Fallen"` // cold hosts that failed from overload
 	Worth            Worth
-	Decisions        int // requests and outcomes
-	Busy             time.Duration
+	Decisions        int           // requests and outcomes that the decision code handled
+	WallTime         time.Duration `json:"Busy"` // real time that the run took
 }
 
-// Worth is the operators' way to count: a seat-set's second is worth two of a lookup's.
+// Worth is the value of the service as the operators count it: a second of a seat-set connection is worth two of a
+// lookup connection.
 type Worth struct {
-	Asked, Well     float64 // seconds asked for, and those in which messages came within the aim
+	Asked           float64 // seconds requested
+	ServedWell      float64 `json:"Well"` // seconds in which messages met their target
 	Placed, Crossed int     // connections, and those in another room than their client's
-	Joined, HeldBy  int     // connections counted, and by how many hosts their flights were then held in all
+	FlightSamples   int     `json:"Joined"` // connections at whose start the hosts of their flight were counted
+	FlightHosts     int     `json:"HeldBy"` // sum of these numbers of hosts
 	Moves           int
 }
 
-// Service is the share of what was asked for that was served well.
-func (w Worth) Service() float64 { return w.Well / max(w.Asked, 1e-9) }
+// Service is the share of the requested worth that was served well.
+func (w Worth) Service() float64 { return w.ServedWell / max(w.Asked, 1e-9) }
 
 // Crossings is the share of connections that cross rooms.
 func (w Worth) Crossings() float64 { return float64(w.Crossed) / max(float64(w.Placed), 1) }
 
-// Split is on how many hosts a connection's flight stands.
-func (w Worth) Split() float64 { return float64(w.HeldBy) / max(float64(w.Joined), 1) }
+// HostsPerFlight is the mean number of hosts that the flight of a new connection has connections to.
+func (w Worth) HostsPerFlight() float64 {
+	return float64(w.FlightHosts) / max(float64(w.FlightSamples), 1)
+}
 
-func worthOf(class string) float64 {
+// classWorth is the worth of a second of a connection, by class.
+func classWorth(class string) float64 {
 	if class == "seat-set" {
 		return 2
 	}
 	return 1
 }
 
-// Tally counts connections and what harmed them; one may be harmed in several ways.
+// Tally counts connections and the ways in which they were harmed; one connection may be harmed in several ways.
 type Tally struct{ Connections, Harmed, Unserved, Broken, Late, Slow int }
