--- a/cmd/wirehost/main.go
+++ b/cmd/wirehost/main.go
@@ -1,5 +1,5 @@
-// Command wirehost runs the decision module on the simulator's wire: batches on standard input, replies on
-// standard output, trouble on standard error.
+// Command wirehost runs the decision module behind the simulator's wire protocol: it reads batches from standard input,
+// and writes replies to standard output and errors to standard error.
 package main
 
 import (
--- a/lab/cells.hcl
+++ b/lab/cells.hcl
@@ -1,5 +1,5 @@
-# Three cells of three desk hosts each; with faults, a hot key of 25% of all traffic in the cell "large" and a
-# quarter of its hosts lost. `make prove-cells` plays it calm, with the faults, and with the faults but no cells.
+# Three cells that share the desk hosts equally. Faults: a hot key with 25% of all traffic in the cell "large", and a
+# crash of a quarter of its hosts. `make prove-cells` plays it without faults, with them, and with them but no cells.
 duration  = "32s"
 settle    = "8s"
 pause     = "400ms"
--- a/lab/failover.hcl
+++ b/lab/failover.hcl
@@ -1,5 +1,5 @@
-# Balancers in two rooms; the room "llandaff" goes dark for 6 s: its hosts hold what comes and answer nothing, while
-# discovery goes on listing them, and they are back cold. `make prove-failover` plays it.
+# Balancers in two rooms. The room "llandaff" goes dark for 6 s: its hosts accept what arrives and answer nothing, while
+# discovery still lists them; they come back cold. `make prove-failover` plays it.
 duration  = "30s"
 settle    = "6s"
 pause     = "400ms"
@@ -17,7 +17,7 @@
   room = "llandaff"
 }
 
-# A tenth of the balancers freeze as the room goes dark and wake 5 s later with what they believed then.
+# A tenth of the balancers freeze when the room goes dark, and continue 5 s later with their outdated state.
 fault "freeze" {
   at   = "12s"
   for  = "5s"
--- a/lab/move.hcl
+++ b/lab/move.hcl
@@ -1,4 +1,4 @@
-# A carrier with over 300 standing connections changes its cell under load; in the midst of it a desk host drains and
+# A carrier with over 300 established connections moves to another cell under load; during the move desk hosts drain and
 # a balancer is restarted. `make prove-move` plays it.
 duration  = "48s"
 settle    = "8s"
--- a/lab/placement.hcl
+++ b/lab/placement.hcl
@@ -1,6 +1,7 @@
-# What a plan is worth: 12 hosts of two kinds in two rooms, 4 balancers, 32 flights at a time. `make prove-placement-worth`
-# plays it calm, with 62% of the flights in one room, with a rolling deploy and with a quarter of the hosts lost; each
-# with equal weights, those that discovery tells, and a plan made of records of the day before.
+# Benefit of a placement plan: 12 hosts of two kinds in two rooms, 4 balancers, 32 flights at a time.
+# `make prove-placement-worth` plays it without faults, with 62% of the flights in one room, with a rolling deploy and with
+# a quarter of the hosts lost; each with equal weights, with those that discovery lists, and with plans made from the
+# records of a preceding run.
 duration  = "60s"
 settle    = "10s"
 pause     = "500ms"
--- a/lab/size.hcl
+++ b/lab/size.hcl
@@ -1,5 +1,5 @@
-# Size in virtual time: 1,000 desk hosts, 20 balancers, 40 cells of one carrier each. `make prove-size` plays it once
-# for each kind of fault, with cells and without; the faults are its own.
+# A large fleet in virtual time: 1,000 desk hosts, 20 balancers, 40 cells of one carrier each. `make prove-size` plays it
+# once for each kind of fault, with cells and without; the faults are defined in the proof.
 duration  = "40s"
 balancers = 20
 hosts     = 1000
