--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -47,8 +47,8 @@
 	lastDarkAttempt map[*balancerProcess]time.Duration
 }
 
-// NewSocketLab starts the hosts, discovery and the balancers of an experiment. Without cells, the auditor does not hold
-// the balancers to a plan.
+// NewSocketLab starts the hosts, discovery and the balancers of an experiment. Without cells, the balancers get no
+// operator's file, unless it is needed for a placement plan or records, and the auditor checks them against no plan.
 func NewSocketLab(exp *Experiment, seed uint64, withCells bool, binary, folder string) (*SocketLab, error) {
 	s := newSocketLab(exp, seed, binary, folder)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -33,7 +33,7 @@
 	loadFactors       map[string]float64
 }
 
-const virtualStart = 1e6 * time.Second // start of the virtual clock; 0 would mean an unknown time
+const virtualStart = 1e6 * time.Second // start of the virtual clock; a start time of 0 would mean long ago
 
 // NewVirtualLab prepares an experiment. Without cells, the balancers do not get the experiment's cell plan.
 func NewVirtualLab(exp *Experiment, seed uint64, withCells bool) *VirtualLab {
@@ -57,7 +57,7 @@
 	return v
 }
 
-// addHosts makes the desk hosts and the list of them.
+// addHosts makes the desk hosts and returns their host list.
 func (v *VirtualLab) addHosts() (list []policy.Server) {
 	for _, s := range v.specs {
 		v.hosts[s.ID] = &virtualHost{Machine: NewMachine(s, 800*time.Millisecond)}
