--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -79,16 +79,16 @@
 
 // OpenRequest is a parsed OPEN line.
 type OpenRequest struct {
-	ID       string
-	Class    string
-	Carrier  string // empty if not specified
-	Key      uint64
-	Group    uint64
-	HasGroup bool
-	Timeout  time.Duration // how long the client waits for an answer
-	MidFlow  bool          // packets of an established connection
-	Returned bool          // the client reconnects after its connection broke or was moved
-	HostID   string        // the desk host that already has the connection; empty if it is new
+	ID           string
+	Class        string
+	Carrier      string // empty if not specified
+	Key          uint64
+	Group        uint64
+	HasGroup     bool
+	Timeout      time.Duration // how long the client waits for an answer
+	MidFlow      bool          // packets of an established connection
+	Reconnecting bool          // the client reconnects after its connection broke or was moved
+	HostID       string        // the desk host that already has the connection; empty if it is new
 
 	raw                      []byte // the received line
 	timeoutStart, timeoutEnd int    // position of the value of field d in raw
@@ -171,7 +171,7 @@
 	case "mid":
 		o.MidFlow, err = parseFlag(value)
 	case "again":
-		o.Returned, err = parseFlag(value)
+		o.Reconnecting, err = parseFlag(value)
 	case "r":
 		_, err = parseFlag(value)
 	case "at":
--- a/internal/line/line_test.go
+++ b/internal/line/line_test.go
@@ -18,7 +18,7 @@
 	assert.Equal(t, "chat", o.Class)
 	assert.Equal(t, uint64(0x7f3a9c21e0b4d655), o.Key)
 	assert.Equal(t, uint64(0x5c0f6e1a2b3d4c59), o.Group)
-	assert.True(t, o.HasGroup && o.MidFlow && o.Returned)
+	assert.True(t, o.HasGroup && o.MidFlow && o.Reconnecting)
 	assert.Equal(t, 2*time.Second, o.Timeout)
 	assert.Equal(t, strings.Replace(openLine, "d=2000", "d=150", 1), string(o.Forward(150*time.Millisecond)))
 	assert.Equal(t, strings.Replace(openLine, "d=2000", "d=1", 1), string(o.Forward(-time.Second)))
--- a/internal/net/downstream.go
+++ b/internal/net/downstream.go
@@ -184,13 +184,13 @@
 	n.deadlines.Stop(d.silenceLimit)
 	n.counters.Add("operations taken")
 	n.trace("taken", "id", opening.ID, "key", n.placementKey(opening), "group", opening.Group, "class", opening.Class,
-		"wait", opening.Timeout, "returned", opening.Returned, "mid", opening.MidFlow, "at", opening.HostID)
+		"wait", opening.Timeout, "returned", opening.Reconnecting, "mid", opening.MidFlow, "at", opening.HostID)
 	request := n.policyRequest(opening)
 	// Submit may start an attempt or answer before it returns the request's number; until then the request finds its
 	// downstream by the downstream's own number.
 	if opening.HostID != "" {
 		n.counters.Add("operations handed over")
-		d.request = n.table.SubmitMidFlow(now, d.id, request, opening.HostID)
+		d.request = n.table.SubmitToHost(now, d.id, request, opening.HostID)
 		return
 	}
 	if opening.MidFlow {
@@ -202,7 +202,7 @@
 // policyRequest converts an OPEN line for the decision module.
 func (n *Node) policyRequest(o line.OpenRequest) policy.Request {
 	return policy.Request{ID: o.ID, Class: o.Class, Key: n.placementKey(o), HasKey: true, TTL: max(o.Timeout-answerMargin, 0),
-		MidFlow: o.MidFlow, Reconnecting: o.Returned, Tenant: o.Carrier}
+		MidFlow: o.MidFlow, Reconnecting: o.Reconnecting, Tenant: o.Carrier}
 }
 
 // placementKey is the key by which a request is placed: the key of its group if groups are turned on, else its own.
--- a/internal/net/drain.go
+++ b/internal/net/drain.go
@@ -198,7 +198,7 @@
 		if d.conn != nil && d.openReceived && !d.closing && (d.upstream == nil || !d.upstream.up) {
 			n.counters.Add("operations answered: failed, at the end")
 			d.sendLastLine(now, "ERR\r\n")
-			n.table.ProtocolError(now, d.request)
+			n.table.AnsweredFailed(now, d.request)
 		}
 	}
 }
--- a/internal/net/established.go
+++ b/internal/net/established.go
@@ -22,7 +22,7 @@
 		switch kind, rest := line.Parse(text); kind {
 		case line.Load:
 			if level, ok := line.ParseLoad(rest); ok {
-				n.table.Note(now, d.request, policy.MetricLoad, level)
+				n.table.ConnectionMetric(now, d.request, policy.MetricLoad, level)
 			}
 		case line.Bye:
 			u.endResult = policy.OK
--- a/internal/net/probe.go
+++ b/internal/net/probe.go
@@ -207,7 +207,7 @@
 			}
 		}
 		_, _ = p.conn.Discard(len(text))
-		p.node.table.Reported(now, p.server,
+		p.node.table.ProbeResult(now, p.server,
 			policy.Report{Answered: answered, Load: p.status.report.currentLoad(), Delay: p.status.report.expectedDelay(now)})
 		if p.node.delays.manyBalancers { // permanent probe connections would occupy as many slots as clients do
 			p.close()
@@ -237,7 +237,7 @@
 func (p *probe) unanswered(now time.Duration) {
 	p.status.probeMissedAt = now
 	p.node.trace("probe-missed", "host", p.server)
-	p.node.table.Reported(now, p.server, policy.Report{})
+	p.node.table.ProbeResult(now, p.server, policy.Report{})
 }
 
 func (p *probe) detach(bool) { p.conn = nil }
--- a/internal/net/relay.go
+++ b/internal/net/relay.go
@@ -18,7 +18,7 @@
 	if u == nil || !u.up {
 		if err := checkEarlyInput(buf, d.node.maxBuffered()); err != nil {
 			d.rejectMalformed(now, err)
-			d.node.table.ProtocolError(now, d.request)
+			d.node.table.AnsweredFailed(now, d.request)
 		}
 		return
 	}
--- a/internal/net/trace.go
+++ b/internal/net/trace.go
@@ -28,6 +28,6 @@
 	n, opening := d.node, d.opening
 	if n.tracing {
 		n.trace("refused", "id", opening.ID, "key", n.placementKey(opening), "class", opening.Class, "reason", reason,
-			"back", retryAfter, "returned", opening.Returned, "mid", opening.MidFlow)
+			"back", retryAfter, "returned", opening.Reconnecting, "mid", opening.MidFlow)
 	}
 }
--- a/internal/net/upstream.go
+++ b/internal/net/upstream.go
@@ -100,7 +100,7 @@
 		u.up, u.upAt = true, now
 		u.node.delays.host(u.server).newConnections = true
 		u.node.counters.Add("operations served")
-		u.traceAttempt("attempt-up", "returned", u.downstream.opening.Returned, "mid", u.downstream.opening.MidFlow)
+		u.traceAttempt("attempt-up", "returned", u.downstream.opening.Reconnecting, "mid", u.downstream.opening.MidFlow)
 		u.node.recordZoneOutcome(now, u.server, true)
 		u.node.write(u.downstream.conn, text)
 		u.node.table.Established(now, u.downstream.request)
--- a/internal/request/table.go
+++ b/internal/request/table.go
@@ -165,8 +165,8 @@
 	}
 }
 
-// ProtocolError records that the client violated the protocol; the transport has already sent it an answer.
-func (t *Table) ProtocolError(now time.Duration, id slot.ID) {
+// AnsweredFailed records that the client violated the protocol; the transport has already sent it an answer.
+func (t *Table) AnsweredFailed(now time.Duration, id slot.ID) {
 	if req, ok := t.requests.Get(id); ok && !req.answered {
 		t.countOutcome(req.class, failed)
 	}
@@ -195,8 +195,8 @@
 	t.deliverOutcomes()
 }
 
-// Note passes a measurement of an established connection to the module.
-func (t *Table) Note(now time.Duration, id slot.ID, kind policy.MetricKind, level float64) {
+// ConnectionMetric passes a measurement of an established connection to the module.
+func (t *Table) ConnectionMetric(now time.Duration, id slot.ID, kind policy.MetricKind, level float64) {
 	if req, ok := t.requests.Get(id); ok {
 		t.now = now
 		t.module.ConnectionMetric(now, req.moduleID, kind, level)
@@ -211,8 +211,8 @@
 	t.deliverOutcomes()
 }
 
-// Reported passes on a server's load report, or that a server has not answered the request for one.
-func (t *Table) Reported(now time.Duration, server string, report policy.Report) {
+// ProbeResult passes on a server's load report, or that a server has not answered the request for one.
+func (t *Table) ProbeResult(now time.Duration, server string, report policy.Report) {
 	t.now = now
 	t.module.ProbeResult(now, server, report)
 	t.deliverOutcomes()
--- a/internal/request/table_test.go
+++ b/internal/request/table_test.go
@@ -144,13 +144,13 @@
 
 func TestMidFlowConnectionIsNotRetriedElsewhere(t *testing.T) {
 	h := newHarness("s", "u")
-	id := h.SubmitMidFlow(t0, 9, policy.Request{Class: "c", TTL: time.Second}, "u")
+	id := h.SubmitToHost(t0, 9, policy.Request{Class: "c", TTL: time.Second}, "u")
 	assert.Equal(t, []string{"begin 9 u"}, h.takeCalls())
 	h.AttemptEnded(t0, id, policy.Reset)
 	assert.Equal(t, []string{"failed 9"}, h.takeCalls())
 	assert.Zero(t, h.Len())
 	h.unreachable["u"] = true
-	h.SubmitMidFlow(t0, 10, policy.Request{Class: "c", TTL: time.Second}, "u")
+	h.SubmitToHost(t0, 10, policy.Request{Class: "c", TTL: time.Second}, "u")
 	assert.Equal(t, []string{"begin 10 u", "failed 10"}, h.takeCalls())
 }
 
@@ -164,7 +164,7 @@
 		h.Established(t0, ids[owner])
 	}
 	h.takeCalls()
-	h.Note(t0, ids[0], policy.MetricDelay, 5000)
+	h.ConnectionMetric(t0, ids[0], policy.MetricDelay, 5000)
 	calls := h.takeCalls()
 	assert.Len(t, calls, 2, "at most half are moved: %v", calls)
 	assert.Equal(t, 2, h.Len())
@@ -203,10 +203,10 @@
 	h.CountRejected("c")
 	assert.Equal(t, counters.Outcomes{Completed: 1, Rejected: 2}, h.AnswerCounts()["c"])
 	violating := submit(h, 4)
-	h.ProtocolError(t0, violating)
-	h.ProtocolError(t0, violating)
-	h.SubmitMidFlow(t0, 5, policy.Request{Class: "d", TTL: time.Second}, "s")
-	h.AttemptEnded(t0, h.SubmitMidFlow(t0, 6, policy.Request{Class: "d", TTL: time.Second}, "s"), policy.ConnectFailed)
+	h.AnsweredFailed(t0, violating)
+	h.AnsweredFailed(t0, violating)
+	h.SubmitToHost(t0, 5, policy.Request{Class: "d", TTL: time.Second}, "s")
+	h.AttemptEnded(t0, h.SubmitToHost(t0, 6, policy.Request{Class: "d", TTL: time.Second}, "s"), policy.ConnectFailed)
 	assert.Equal(t, counters.Outcomes{Completed: 1, Rejected: 2, Failed: 1}, h.AnswerCounts()["c"])
 	assert.Equal(t, counters.Outcomes{Failed: 1}, h.AnswerCounts()["d"])
 }
--- a/internal/request/takeover.go
+++ b/internal/request/takeover.go
@@ -7,9 +7,9 @@
 	"tealtiller/policy"
 )
 
-// SubmitMidFlow adds a connection that is already established at a host; its only attempt goes to that host. It returns
+// SubmitToHost adds a connection that is already established at a host; its only attempt goes to that host. It returns
 // the id of the request.
-func (t *Table) SubmitMidFlow(now time.Duration, owner slot.ID, incoming policy.Request, server string) slot.ID {
+func (t *Table) SubmitToHost(now time.Duration, owner slot.ID, incoming policy.Request, server string) slot.ID {
 	req := t.add(owner, incoming)
 	incoming.ID, t.now, req.midFlow = req.moduleID, now, true
 	t.module.Inherit(now, incoming, server)
