--- a/internal/line/line.go
+++ b/internal/line/line.go
@@ -86,7 +86,7 @@
 	Group        uint64
 	HasGroup     bool
 	Timeout      time.Duration // how long the client waits for an answer
-	MidFlow      bool          // packets of an established connection
+	MidFlow      bool          // the connection is already open; its packets now arrive at this balancer
 	Reconnecting bool          // the client reconnects after its connection broke or was moved
 	HostID       string        // the desk host that already has the connection; empty if it is new
 
@@ -97,8 +97,9 @@
 // maxTimeout is the largest timeout that a client may specify.
 const maxTimeout = 24 * time.Hour
 
-// handoverTimeout applies to a connection that was established before the balancer started, as its OPEN has no timeout.
-const handoverTimeout = 40 * time.Second
+// establishedTimeout applies to a connection that was established before the balancer started, as its OPEN has no
+// timeout.
+const establishedTimeout = 40 * time.Second
 
 // ParseOpenRequest parses an OPEN line. The result does not refer to the buffer that is passed in.
 func ParseOpenRequest(line []byte) (OpenRequest, error) {
@@ -143,7 +144,7 @@
 	case o.timeoutEnd == 0 && o.HostID == "":
 		return o, errors.New("OPEN lacks d")
 	case o.timeoutEnd == 0:
-		o.Timeout, o.timeoutStart, o.timeoutEnd = handoverTimeout, len(line), len(line)
+		o.Timeout, o.timeoutStart, o.timeoutEnd = establishedTimeout, len(line), len(line)
 	}
 	return o, nil
 }
--- a/internal/net/delay.go
+++ b/internal/net/delay.go
@@ -9,8 +9,8 @@
 	"tealtiller/policy"
 )
 
-// delayMonitor tracks the message delay of each desk host. At most once a second it reports to the module the hosts
-// whose delay is over the threshold, and once more when a host is back below it. The delay is the larger of the
+// delayMonitor tracks the message delay of each desk host. At most once a second it reports to the decision module the
+// hosts whose delay is over the threshold, and once more when a host is back below it. The delay is the larger of the
 // measured time from a client's line to the host's next line, and the delay expected from the host's load reports: a
 // crowded host may answer at once and still have a backlog.
 type delayMonitor struct {
--- a/internal/net/descriptors.go
+++ b/internal/net/descriptors.go
@@ -42,8 +42,9 @@
 // that had their last line, then those not in the middle of a line, then the others; within each group, the one that
 // has been silent for longest.
 //
-// Connections are accepted on the event loop for the same reason: gnet's separate acceptor would accept hundreds
-// before the loop counts them, and would end the whole engine when no descriptor is left.
+// So that the count is right, connections are accepted on the event loop, one at a time. gnet's separate acceptor would
+// accept hundreds before the loop counts them, and would shut the engine down when accept finds no descriptor; on the
+// loop, gnet as changed in third_party only pauses the listener (accept_failure.go).
 func (n *Node) makeRoom(more int) bool {
 	return n.makeRoomAmong(more, func(d *downstream) bool { return !d.openReceived && !d.closing || d.lingering })
 }
--- a/internal/net/dial.go
+++ b/internal/net/dial.go
@@ -35,7 +35,7 @@
 	if wait <= 0 {
 		wait = defaultConnectTimeout
 	}
-	if d.opening.HostID != "" { // these all come at once, and no other host can serve them
+	if d.opening.HostID != "" { // already established: these all come at once, and no other host can serve them
 		wait = until - n.now()
 	}
 	ctx, cancel := context.WithTimeout(context.Background(), min(wait, until-n.now()))
--- a/internal/net/downstream.go
+++ b/internal/net/downstream.go
@@ -65,8 +65,8 @@
 	return gnet.None
 }
 
-// maxBusyOverdraft is how many clients refused for want of descriptors may occupy one of the reserved descriptors
-// until they have read the answer.
+// maxBusyOverdraft is how many of the reserved descriptors may be occupied by clients that were refused for want of
+// descriptors and have not read the answer yet.
 const maxBusyOverdraft = 4
 
 // maxCommandsAtOnce is how many commands a client may send before it has read the answers.
--- a/internal/net/drain.go
+++ b/internal/net/drain.go
@@ -70,7 +70,7 @@
 			}
 		}
 	}
-	if now >= latest && !(n.cfg.Settings.PassThrough && n.drainDeadlinePassed) { // once with pass-through: see pastDrainDeadline
+	if now >= latest && !(n.cfg.Settings.PassThrough && n.drainDeadlinePassed) { // only once with pass-through: see pastDrainDeadline
 		n.drainDeadlinePassed = true
 		n.failUnanswered(now)
 		if n.cfg.Settings.PassThrough {
--- a/internal/net/node.go
+++ b/internal/net/node.go
@@ -103,9 +103,9 @@
 }
 
 // NewNode returns a balancer that writes its metrics to out. In the shared directory it meets a process that already
-// serves at its address, or later the one that takes over; folder may be empty.
-func NewNode(cfg NodeConfig, known *discovery.List, out io.Writer, folder string, log *slog.Logger) *Node {
-	n := &Node{cfg: cfg, log: log.With("balancer", cfg.Name), initialList: known, metricsOutput: out, sharedDir: folder, leading: true,
+// serves at its address, or later the one that takes over; sharedDir may be empty.
+func NewNode(cfg NodeConfig, known *discovery.List, out io.Writer, sharedDir string, log *slog.Logger) *Node {
+	n := &Node{cfg: cfg, log: log.With("balancer", cfg.Name), initialList: known, metricsOutput: out, sharedDir: sharedDir, leading: true,
 		origin: time.Now(), counters: counters.Set{}, addresses: map[string]netip.AddrPort{},
 		booted: make(chan struct{}), stopped: make(chan struct{}), lineTimeout: defaultLineTimeout,
 		commandTimeout: defaultCommandTimeout, probeTimeout: defaultProbeTimeout, listWait: defaultListWait,
--- a/internal/net/probe.go
+++ b/internal/net/probe.go
@@ -77,7 +77,7 @@
 }
 
 const (
-	spareUtilisation = 0.9                    // below this, cores have time to spare and the backlog is 0
+	spareUtilisation = 0.9                    // below this, cores have time to spare; with a load below 1, the backlog is 0
 	fullUtilisation  = 0.96                   // from this on, a backlog is assumed
 	assumedBacklog   = 100 * time.Millisecond // minimum backlog from fullUtilisation on
 	droppedBacklog   = 500 * time.Millisecond // minimum backlog of a host that drops connections
@@ -209,14 +209,14 @@
 		_, _ = p.conn.Discard(len(text))
 		p.node.table.ProbeResult(now, p.server,
 			policy.Report{Answered: answered, Load: p.status.report.currentLoad(), Delay: p.status.report.expectedDelay(now)})
-		if p.node.delays.manyBalancers { // permanent probe connections would occupy as many slots as clients do
+		if p.node.delays.manyBalancers { // permanent probe connections would occupy as many slots of the host as clients do
 			p.close()
 			return
 		}
 	}
 }
 
-// inProgress reports whether an answer or connection is pending. Dropping it would leave a request waiting in vain.
+// inProgress reports whether an answer or connection is pending; closing it then would leave a request waiting in vain.
 func (p *probe) inProgress() bool { return p != nil && (p.conn == nil || p.answerLimit != nil) }
 
 // close ends the probe; the next one opens a new connection. A nil receiver is allowed.
--- a/internal/net/probe_test.go
+++ b/internal/net/probe_test.go
@@ -74,10 +74,10 @@
 // An unanswered line concerns a single connection; only an unanswered probe since then makes the host count as slow.
 func TestUnansweredLineAloneIsNoSlowHost(t *testing.T) {
 	n := &Node{}
-	l := &hostStatus{unansweredFor: time.Second, probeMissedAt: 8 * time.Second}
-	assert.Equal(t, time.Second, l.silentFor(n, 10*time.Second), "without probes the line is the only sign")
+	status := &hostStatus{unansweredFor: time.Second, probeMissedAt: 8 * time.Second}
+	assert.Equal(t, time.Second, status.silentFor(n, 10*time.Second), "without probes the line is the only sign")
 	n.cfg.Settings.ProbesAllowed = true
-	assert.Zero(t, l.silentFor(n, 10*time.Second), "that probe failed before the line was sent")
-	l.probeMissedAt = 9500 * time.Millisecond
-	assert.Equal(t, time.Second, l.silentFor(n, 10*time.Second))
+	assert.Zero(t, status.silentFor(n, 10*time.Second), "that probe failed before the line was sent")
+	status.probeMissedAt = 9500 * time.Millisecond
+	assert.Equal(t, time.Second, status.silentFor(n, 10*time.Second))
 }
--- a/internal/net/processlink.go
+++ b/internal/net/processlink.go
@@ -12,7 +12,7 @@
 
 // processLink connects the two processes of one balancer while a new version takes over. Both listen at the same
 // address, and the kernel distributes clients between them. One process leads; the other passes on the clients that
-// reach it. The older process leads until it is told to stop, and it allots the descriptors.
+// reach it. The older process leads until it is stopped, and it allots the descriptors.
 //
 // Messages are written by one goroutine and read by another, since both may block.
 type processLink struct {
@@ -163,7 +163,7 @@
 			n.dialFailed(s, err)
 		}
 	}
-	if m.Kind == handover.KindEstablished { // closes both sockets if the OPEN line could not be parsed
+	if m.Kind == handover.KindEstablished { // still open only if the OPEN line could not be parsed
 		for _, c := range conns {
 			_ = c.Close()
 		}
--- a/internal/net/record_test.go
+++ b/internal/net/record_test.go
@@ -36,13 +36,13 @@
 }
 
 // readRecords reads the records of a file.
-func readRecords(t *testing.T, path string) (g *placement.FleetBuilder) {
+func readRecords(t *testing.T, path string) (builder *placement.FleetBuilder) {
 	f, err := os.Open(path)
 	require.NoError(t, err)
 	defer f.Close()
-	g = placement.NewFleetBuilder(placement.DefaultClassLoads(), 0, time.Millisecond)
-	require.NoError(t, g.Read(f))
-	return g
+	builder = placement.NewFleetBuilder(placement.DefaultClassLoads(), 0, time.Millisecond)
+	require.NoError(t, builder.Read(f))
+	return builder
 }
 
 // A kill or a full disk may leave an incomplete record at the end of the file, cut anywhere; no other record may be
--- a/internal/net/requestio.go
+++ b/internal/net/requestio.go
@@ -9,22 +9,22 @@
 	"tealtiller/policy"
 )
 
-// requestIO carries out the actions of requests on their sockets. The owner of a request is the number of its
-// downstream.
+// requestIO carries out the actions of requests on their sockets, as request.Transport describes them. The owner of a
+// request is the number of its downstream.
 type requestIO struct{ node *Node }
 
 var _ request.Transport = requestIO{}
 
-func (c requestIO) Begin(owner slot.ID, server string, until time.Duration) error {
-	d, ok := c.node.downstreams.Get(owner)
+func (r requestIO) Begin(owner slot.ID, server string, until time.Duration) error {
+	d, ok := r.node.downstreams.Get(owner)
 	if !ok {
 		return fmt.Errorf("client connection %d is gone", owner)
 	}
-	return c.node.beginAttempt(d, server, until)
+	return r.node.beginAttempt(d, server, until)
 }
 
-func (c requestIO) Abandon(owner slot.ID) (sent bool) {
-	d, ok := c.node.downstreams.Get(owner)
+func (r requestIO) Abandon(owner slot.ID) (sent bool) {
+	d, ok := r.node.downstreams.Get(owner)
 	if !ok || d.upstream == nil {
 		return false
 	}
@@ -34,35 +34,35 @@
 	return u.sent
 }
 
-func (c requestIO) Busy(owner slot.ID, retryAfter time.Duration, why policy.Reason) {
-	c.node.counters.Add("operations answered: busy")
-	if d, ok := c.node.downstreams.Get(owner); ok {
+func (r requestIO) Busy(owner slot.ID, retryAfter time.Duration, why policy.Reason) {
+	r.node.counters.Add("operations answered: busy")
+	if d, ok := r.node.downstreams.Get(owner); ok {
 		d.traceRefusal(why.String(), retryAfter)
-		d.answerBusy(c.node.now(), retryAfter)
+		d.answerBusy(r.node.now(), retryAfter)
 	}
 }
 
-func (c requestIO) Failed(owner slot.ID) {
-	c.node.counters.Add("operations answered: failed")
-	if d, ok := c.node.downstreams.Get(owner); ok {
-		d.sendLastLine(c.node.now(), "ERR\r\n")
+func (r requestIO) Failed(owner slot.ID) {
+	r.node.counters.Add("operations answered: failed")
+	if d, ok := r.node.downstreams.Get(owner); ok {
+		d.sendLastLine(r.node.now(), "ERR\r\n")
 	}
 }
 
-func (c requestIO) Move(owner slot.ID) {
-	if d, ok := c.node.downstreams.Get(owner); ok && d.upstream != nil {
+func (r requestIO) Move(owner slot.ID) {
+	if d, ok := r.node.downstreams.Get(owner); ok && d.upstream != nil {
 		u := d.upstream
 		u.traceAttempt("moved")
-		d.sendMove(c.node.now())
+		d.sendMove(r.node.now())
 		u.abort(false)
 	}
 }
 
-func (c requestIO) Ask(server string) {
-	n := c.node
+func (r requestIO) Ask(server string) {
+	n := r.node
 	n.probeHost(server, n.delays.host(server), n.now())
 }
 
-func (c requestIO) Watch(on bool) { c.node.watch.watcher.Watch(c.node.now(), on) }
+func (r requestIO) Watch(on bool) { r.node.watch.watcher.Watch(r.node.now(), on) }
 
-func (c requestIO) Log(text string) { c.node.log.Info("decision", "text", text) }
+func (r requestIO) Log(text string) { r.node.log.Info("decision", "text", text) }
--- a/internal/net/rig_test.go
+++ b/internal/net/rig_test.go
@@ -147,21 +147,21 @@
 }
 
 // load reads the configuration, and the operator's file if the scenario sets one.
-func (r *rig) load() (t NodeConfig, err error) {
+func (r *rig) load() (cfg NodeConfig, err error) {
 	if text := r.settings["cells"]; text != "" {
 		if plan, ok := r.settings["plan"]; ok {
 			if err := os.WriteFile(filepath.Join(r.folder, "plan.json"), []byte(plan), 0o600); err != nil {
-				return t, err
+				return cfg, err
 			}
 		}
 		file, err := operator.Parse([]byte(strings.ReplaceAll(text, ";", "\n")), filepath.Join(r.folder, "operator.hcl"))
 		if err != nil {
-			return t, err
+			return cfg, err
 		}
-		t.CellPlan, t.Placement, t.Failover = file.Cells, file.Placement, file.Failover
+		cfg.CellPlan, cfg.Placement, cfg.Failover = file.Cells, file.Placement, file.Failover
 	}
-	t.Config, err = r.source.Load()
-	return t, err
+	cfg.Config, err = r.source.Load()
+	return cfg, err
 }
 
 // config is the text of a configuration with the rig's discovery address.
--- a/internal/net/scenario_test.go
+++ b/internal/net/scenario_test.go
@@ -48,7 +48,7 @@
 //	wait left N             waits until the node may open N more descriptors
 //	wait count NAME N       waits until a counter of the node is N, or with N+ at least N
 //
-// Every read has a time limit, so a step that never completes fails; no step sleeps.
+// Every read is limited to stepTimeout, so a step that never completes fails; no step sleeps.
 const stepTimeout = 20 * time.Second
 
 // rig runs the steps of a scenario or test on a node.
@@ -65,7 +65,7 @@
 	started        bool
 	source         *settings.Source
 	path           string // of the configuration file
-	address        string // of the node
+	address        string // of the node; kept here because the node's configuration belongs to its loop
 	admin          string // second address of the node, if settings turn it on
 	known          string // host list in the configuration
 	discoveryAddr  string // discovery address in the configuration file
--- a/internal/net/upstream.go
+++ b/internal/net/upstream.go
@@ -52,7 +52,7 @@
 	}
 	u.sent = true
 	u.traceAttempt("attempt-sent", "revision", u.node.watch.status.revision, "unheard", u.node.watch.sinceAnswer(now))
-	// Written completely: a line fits the buffer of a new connection.
+	// The line is written completely, since it fits the send buffer of a new connection.
 	u.node.write(c, u.downstream.opening.Forward(u.attemptDeadline-now))
 	if u.conn != nil {
 		u.node.counters.Add("attempts written")
--- a/internal/net/wallclock.go
+++ b/internal/net/wallclock.go
@@ -37,8 +37,8 @@
 }
 
 // serversOnNodeClock converts the start times of a list to the node's clock. By the wall clock, a host that starts
-// after a backward step would be taken for warm, and one that starts after a forward step for cold until the wall
-// clock reaches its old reading.
+// after a backward step would be taken for warm, and one that starts after a forward step for cold until the node's
+// clock has caught up with the wall clock's reading.
 func (n *Node) serversOnNodeClock(now time.Duration, kind policy.MembersKind, list *discovery.List) []policy.Server {
 	n.checkWallClock(now)
 	servers := list.Servers()
--- a/internal/net/zones.go
+++ b/internal/net/zones.go
@@ -17,8 +17,8 @@
 	checkScheduled bool // a check is scheduled for a share that is still changing
 }
 
-// zoneCheckInterval is how often states are checked while a share changes: at a swing of 0.25 a second, in steps of a
-// sixteenth.
+// zoneCheckInterval is how often states are checked while a share changes: at the default rate of 0.25 per second, a
+// share changes by a sixteenth between two checks.
 const zoneCheckInterval = 250 * time.Millisecond
 
 // configureZones starts, keeps or ends the zone shares according to the configuration. New settings would judge old
--- a/internal/operator/failover.go
+++ b/internal/operator/failover.go
@@ -10,7 +10,7 @@
 const (
 	minFailoverDuration, maxFailoverDuration = 100 * time.Millisecond, 10 * time.Minute
 	minPositiveFraction                      = 0.01 // for fractions that must not be 0
-	minOutcomesLimit                         = 1000
+	maxMinOutcomes                           = 1000
 )
 
 // readFailover converts the failover block; attributes that are omitted keep their defaults.
@@ -23,8 +23,8 @@
 	r.readFraction("leave", b.RecoverThreshold, 0, &settings.RecoverThreshold)
 	r.readFraction("swing", b.MaxChangePerSecond, minPositiveFraction, &settings.MaxChangePerSecond)
 	if b.MinOutcomes != nil {
-		if settings.MinOutcomes = *b.MinOutcomes; *b.MinOutcomes < 1 || *b.MinOutcomes > minOutcomesLimit {
-			r.addError("", "", "least", "must be between 1 and %d", minOutcomesLimit)
+		if settings.MinOutcomes = *b.MinOutcomes; *b.MinOutcomes < 1 || *b.MinOutcomes > maxMinOutcomes {
+			r.addError("", "", "least", "must be between 1 and %d", maxMinOutcomes)
 		}
 	}
 	if settings.RecoverThreshold >= settings.ShunThreshold {
