--- a/cmd/tealtiller/descriptors_test.go
+++ b/cmd/tealtiller/descriptors_test.go
@@ -48,8 +48,8 @@
 	assert.Less(t, time.Since(begin), 2500*time.Millisecond)
 }
 
-// serveEmptyList starts a discovery that sends an empty list to balancers started afterwards; watched is closed once one of
-// them asks for newer lists.
+// serveEmptyList starts a discovery that sends an empty list to balancers started afterwards; watched is closed once
+// one of them asks for newer lists.
 func serveEmptyList(t *testing.T) (watched <-chan struct{}) {
 	requested, once := make(chan struct{}), sync.Once{}
 	discovery := httptest.NewServer(http.HandlerFunc(func(w http.ResponseWriter, r *http.Request) {
--- a/cmd/tealtiller/soak_test.go
+++ b/cmd/tealtiller/soak_test.go
@@ -87,8 +87,8 @@
 }
 
 // Runs with rare combinations of events: connections established while their host drains, bursts of leaving clients
-// while their balancer is stopped, all hosts hanging during a shutdown. docs/soak.md tells what they find when the
-// protecting code is removed.
+// while their balancer is stopped, all hosts hanging during a shutdown. docs/soak.md describes what they find when
+// the protecting code is removed.
 func TestSoakCrossings(t *testing.T) {
 	for _, seed := range []uint64{300, 302} {
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
