--- a/internal/placement/branch.go
+++ b/internal/placement/branch.go
@@ -12,9 +12,9 @@
 // largest first. It reports whether the search is complete, so that the best placement is proved optimal.
 //
 // Placing a flight lowers the bound by the difference between its highest value at the dual prices and its value in the
-// chosen place. Where a host is full and sheds load with a gain above the price of its room, the bound falls further,
-// to the exact value of the host: pieces that are added later bring no more there than at the price, because the value
-// of a host is concave in what is placed on it.
+// chosen place. Where a host is full, and the gain per load at which it stops serving is at least the price of its room,
+// the bound falls further, to the exact value of the host: pieces that are added later bring no more there than at the
+// price, because the highest value that a host can serve is concave in what is placed on it.
 func (s *search) branchAndBound(d *dual) (complete bool) {
 	b := s.newBrancher(d)
 	b.visit(0, d.bound(nil))
--- a/internal/placement/fleet_builder.go
+++ b/internal/placement/fleet_builder.go
@@ -33,7 +33,7 @@
 	perHostOverhead float64
 	bucket          time.Duration
 	buckets         map[int64]map[string]*Record // by time and balancer
-	RejectedLines   int                          // lines that were not valid records
+	RejectedLines   int                          // lines that were not valid records, and connections with an invalid key
 }
 
 // NewFleetBuilder returns a builder without records. The bucket must not be shorter than the interval at which
--- a/internal/placement/local_search.go
+++ b/internal/placement/local_search.go
@@ -11,10 +11,10 @@
 	maxExchangedFlights   = 200  // number of flights up to which pairs are swapped
 	perturbations         = 200  // perturbations of the best placement, each followed by hill climbing
 	minPerturbedFlights   = 2    // least number of flights that a perturbation moves to random hosts
-	extraPerturbedFlights = 3    // it moves up to one less than this many more
+	extraPerturbedFlights = 3    // a perturbation moves fewer than this many more, drawn at random
 	maxIdleRounds         = 4    // rounds without a gain after which hill climbing ends, with random candidates
 	randomCandidates      = 3    // candidates drawn from all hosts
-	roomSamples           = 15   // in each room, the candidate has the most free load of one host and this many more
+	roomSamples           = 15   // hosts drawn in each room after the first; the one with the most free load is a candidate
 	minRoundGain          = 1e-6 // gain of a round, as a share of the total worth, that counts with random candidates
 )
 
--- a/internal/placement/solve.go
+++ b/internal/placement/solve.go
@@ -28,7 +28,7 @@
 }
 
 const (
-	seedStream              = 11   // of the random numbers, to keep them apart from other uses of the same seed
+	seedStream              = 11   // stream of the random numbers, which keeps them apart from other uses of the same seed
 	stopCheckInterval       = 200  // steps between two calls of Stop and Progress
 	largeProblemPieces      = 2000 // with more pieces: fewer rounds for the bound, no perturbations
 	boundRounds             = 60   // rounds of the search for the dual prices
--- a/internal/placement/value.go
+++ b/internal/placement/value.go
@@ -84,7 +84,7 @@
 	servedWorth, crossingCost, wasteCost, moveCost float64
 	crossedWorth, shedWorth, shedLoad              float64
 
-	flights      int // that have a piece there
+	flights      int // number of flights that have a piece there
 	full         bool
 	freeLoad     float64 // load that still fits; below 0 where the host is overfull
 	marginalGain float64 // gain per load of the first piece that a full host does not serve completely
--- a/internal/placement/weight_applier.go
+++ b/internal/placement/weight_applier.go
@@ -21,7 +21,7 @@
 	sentWeights map[string]float64       // as last passed on, by id
 }
 
-// NewWeightApplier returns one for a balancer in a room. The plan may be nil.
+// NewWeightApplier returns a WeightApplier for a balancer in a room. The plan may be nil.
 func NewWeightApplier(plan *Plan, room string) *WeightApplier {
 	return &WeightApplier{plan: plan, room: room, servers: map[string]policy.Server{}, sentWeights: map[string]float64{}}
 }
@@ -112,7 +112,7 @@
 	Missing        int // hosts of the plan that are not listed
 }
 
-// Status returns nil without a plan.
+// Status describes the plan in use; nil without a plan.
 func (w *WeightApplier) Status(now time.Duration) *PlanStatus {
 	if w.plan == nil {
 		return nil
--- a/internal/wire/decode.go
+++ b/internal/wire/decode.go
@@ -60,8 +60,8 @@
 // Event is one decoded line. Which fields are set depends on Kind. It is valid until the next line is decoded.
 type Event struct {
 	Kind        Kind
-	Time        time.Duration // Begin
-	Turn        int64         // Begin
+	Time        time.Duration // BatchBegin
+	Turn        int64         // BatchBegin
 	Instance    int
 	Request     policy.Request // Request and Inherited; other kinds set only its ID
 	Server      string
@@ -145,7 +145,7 @@
 	case "disposition":
 		result, ok := attemptResults[lexer.UnsafeString()]
 		if !ok {
-			result = policy.Error // an unknown disposition is counted as a plain error
+			result = policy.Error // an unknown disposition proves nothing about the request
 		}
 		e.Result = result
 	case "over":
