--- a/cmd/lab/site.go
+++ b/cmd/lab/site.go
@@ -17,16 +17,16 @@
 }
 
 func (c site) Run(out io.Writer) error {
-	drawn, err := sitegen.Generate(c.Seed)
+	generated, err := sitegen.Generate(c.Seed)
 	if err != nil {
 		return err
 	}
-	folder := filepath.Join(c.Out, drawn.Name)
+	folder := filepath.Join(c.Out, generated.Name)
 	if err := os.MkdirAll(folder, 0o755); err != nil {
 		return err
 	}
-	path := filepath.Join(folder, drawn.Name+".toml")
-	if err := os.WriteFile(path, drawn.TOML, 0o644); err != nil {
+	path := filepath.Join(folder, generated.Name+".toml")
+	if err := os.WriteFile(path, generated.TOML, 0o644); err != nil {
 		return err
 	}
 	for _, name := range sitegen.CompanionFiles {
--- a/internal/lab/audit_connections.go
+++ b/internal/lab/audit_connections.go
@@ -115,8 +115,8 @@
 	}
 }
 
-// closeMoves sums the counts of the moving flights under the key 0, before the clients leave.
-func (a *auditor) closeMoves(s *SocketLab) {
+// sumMovingFlights sums the counts of the moving flights under the key 0, before the clients leave.
+func (a *auditor) sumMovingFlights(s *SocketLab) {
 	s.mu.Lock()
 	defer s.mu.Unlock()
 	if s.plan == nil || len(s.plan.Moves) == 0 {
--- a/internal/lab/client.go
+++ b/internal/lab/client.go
@@ -12,8 +12,8 @@
 	"time"
 )
 
-// client is one simulated client: it opens a connection, sends a line at each pause of the experiment (2 s by default),
-// and reconnects when it is refused, moved or cut off.
+// client is one simulated client: it opens a connection, sends a line after each pause (2 s unless the experiment sets
+// another), and reconnects when it is refused, moved or cut off.
 type client struct {
 	arrival
 	lab       *SocketLab
--- a/internal/lab/count_tally.go
+++ b/internal/lab/count_tally.go
@@ -53,7 +53,7 @@
 	}
 }
 
-// lineCounters count what an event tells beyond its occurrence.
+// lineCounters are the events of which more is counted than that they occurred.
 var lineCounters = map[string]func(*tally, logLine){
 	"probe-sent":       (*tally).probeSent,
 	"attempt-sent":     (*tally).attemptSent,
--- a/internal/lab/exact_problem.go
+++ b/internal/lab/exact_problem.go
@@ -77,9 +77,9 @@
 		warm = 1
 	}
 	hostsPerFlight := math.Max(h.HostsPerFlight, 1)
-	errorAllowance := math.Max(1-f.Prices.CautionErrors*h.CapacityError, 0.1)
+	cautionFactor := math.Max(1-f.Prices.CautionErrors*h.CapacityError, 0.1)
 	c.room = append(c.room, room)
-	c.capacity = append(c.capacity, h.Capacity*warm*f.Prices.MaxUtilisation*errorAllowance)
+	c.capacity = append(c.capacity, h.Capacity*warm*f.Prices.MaxUtilisation*cautionFactor)
 	c.overhead = append(c.overhead, f.Prices.PerHostOverhead*hostsPerFlight)
 	c.overheadCost = append(c.overheadCost, wastePerLoad*f.Prices.PerHostOverhead*hostsPerFlight)
 }
@@ -133,7 +133,7 @@
 	return total
 }
 
-// fill also returns the gain per load at which the host's capacity ends; 0 if it serves all parts.
+// fill returns the worth of a host and the gain per load at which its capacity ends; 0 if it serves all parts.
 func (c *exactProblem) fill(host int, parts []placedPart, flights int) (worth, marginalGain float64) {
 	worth = -float64(flights) * c.overheadCost[host]
 	free := c.capacity[host] - float64(flights)*c.overhead[host]
--- a/internal/lab/exact_search.go
+++ b/internal/lab/exact_search.go
@@ -48,8 +48,8 @@
 
 // bound is an upper bound of the worth of all completions of the current placement, in which the flights before the
 // given one are placed. At any prices, a host gains at most the price of its capacity plus what its parts gain beyond
-// the price. A full host whose marginal gain is above the price counts with its exact worth: the worth of a host is
-// concave in its load, so more parts gain no more there than at the price.
+// the price. A full host whose marginal gain is at least the price counts with its exact worth: the highest worth that
+// a host can serve is concave in its load, so more parts gain no more there than at the price.
 func (e *exactSearch) bound(flight int) float64 {
 	value, marginalGain := make([]float64, len(e.capacity)), make([]float64, len(e.capacity))
 	for host := range value {
--- a/internal/lab/experiment.go
+++ b/internal/lab/experiment.go
@@ -27,9 +27,9 @@
 	Opens     float64 `hcl:"opens"`             // new clients per second, of all carriers together
 	Life      string  `hcl:"life"`              // mean lifetime of a connection
 	Flights   int     `hcl:"flights,optional"`  // number of flights of each carrier
-	Settle    string  `hcl:"settle,optional"`   // settling time, before which no durations are recorded
+	Settle    string  `hcl:"settle,optional"`   // settling time, during which no durations are recorded
 	Pause     string  `hcl:"pause,optional"`    // time from one line of a client to the next
-	Carriers  int     `hcl:"carriers,optional"` // number of carriers of equal shares, in place of Carriers
+	Carriers  int     `hcl:"carriers,optional"` // number of carriers of equal shares; 0 for those of the operators' documentation
 	Cells     int     `hcl:"cells,optional"`    // number of cells of equal shares, if no operator's file is named
 	Skew      float64 `hcl:"skew,optional"`     // share of the flights whose home is the first room; at 0, clients have no rooms
 	Weights   string  `hcl:"weights,optional"`  // sizes that discovery lists: "told" (the hosts' speeds, the default) or "equal"
--- a/internal/lab/sockets.go
+++ b/internal/lab/sockets.go
@@ -48,7 +48,7 @@
 }
 
 // NewSocketLab starts the hosts, discovery and the balancers of an experiment. Without cells, the balancers get no
-// operator's file, unless it is needed for a placement plan or records, and the auditor checks them against no plan.
+// operator's file, unless a placement plan or records need one, and the auditor does not hold them to a plan.
 func NewSocketLab(exp *Experiment, seed uint64, withCells bool, binary, folder string) (*SocketLab, error) {
 	s := newSocketLab(exp, seed, binary, folder)
 	if err := os.MkdirAll(folder, 0o700); err != nil {
--- a/internal/lab/sockets_outcome.go
+++ b/internal/lab/sockets_outcome.go
@@ -8,7 +8,7 @@
 	"github.com/HdrHistogram/hdrhistogram-go"
 )
 
-// Outcome is what the auditor and the clients observed. It is written as JSON under the names of its fields.
+// Outcome is what the auditor and the clients observed. Its keys in JSON are the names of the fields, or their tags.
 type Outcome struct {
 	Opens, Served, Refused, Failed int
 	Lost                           int // without a final answer in time
--- a/internal/lab/sockets_run.go
+++ b/internal/lab/sockets_run.go
@@ -21,7 +21,7 @@
 		go s.awaitMoveStart(time.Unix(0, int64(s.plan.Moves[0].Start)))
 	}
 	s.sleepUntil(s.began.Add(parsedDuration(s.exp.Duration)))
-	s.auditor.closeMoves(s)
+	s.auditor.sumMovingFlights(s)
 	s.stop()
 	s.tasks.Wait()
 	return s.auditor.outcome(s)
--- a/internal/lab/virtual.go
+++ b/internal/lab/virtual.go
@@ -33,7 +33,7 @@
 	loadFactors       map[string]float64
 }
 
-const virtualStart = 1e6 * time.Second // start of the virtual clock; a start time of 0 would mean long ago
+const virtualStart = 1e6 * time.Second // start of the virtual clock; a time of 0 would mean long ago
 
 // NewVirtualLab prepares an experiment. Without cells, the balancers do not get the experiment's cell plan.
 func NewVirtualLab(exp *Experiment, seed uint64, withCells bool) *VirtualLab {
@@ -57,7 +57,7 @@
 	return v
 }
 
-// addHosts makes the desk hosts and returns their host list.
+// addHosts makes the desk hosts and the list of them.
 func (v *VirtualLab) addHosts() (list []policy.Server) {
 	for _, s := range v.specs {
 		v.hosts[s.ID] = &virtualHost{Machine: NewMachine(s, 800*time.Millisecond)}
@@ -121,7 +121,7 @@
 		v.now = e.at
 		e.do()
 	}
-	v.closeAccounts()
+	v.countRemaining()
 	v.Result.WallTime = time.Since(began)
 	return v.Result
 }
@@ -148,8 +148,8 @@
 	}
 }
 
-// closeAccounts counts the connections that are still established, and the tries still unanswered, at the end.
-func (v *VirtualLab) closeAccounts() {
+// countRemaining counts the connections that are still established, and the tries still unanswered, at the end.
+func (v *VirtualLab) countRemaining() {
 	for _, b := range v.balancers {
 		for _, id := range slices.Sorted(maps.Keys(b.clients)) { // sorted, as the rounding of sums depends on the order
 			c := b.clients[id]
--- a/internal/lab/virtual_client.go
+++ b/internal/lab/virtual_client.go
@@ -46,9 +46,9 @@
 	answerTimeout     = 1200 * time.Millisecond // how long a client waits for an answer
 	setupTarget       = 300 * time.Millisecond
 	maxRetries        = 2
-	maxRetryAfter     = 600 * time.Millisecond // longest retry time of a refusal that a client respects
+	maxRetryAfter     = 600 * time.Millisecond // longest pause from a refusal that a client respects
 	retryJitterMS     = 100
-	minRetryPauseMS   = 74 // shortest pause before it reconnects; the range is added at random
+	minRetryPauseMS   = 74 // shortest pause before a client reconnects; up to retryPauseRangeMS more is added at random
 	retryPauseRangeMS = 1226
 )
 
--- a/internal/lab/virtual_fault.go
+++ b/internal/lab/virtual_fault.go
@@ -13,7 +13,7 @@
 	deployDrain   = 4 * time.Second
 )
 
-// notifyBalancers sends all balancers a change of the list, each at a random time within 300 ms.
+// notifyBalancers sends all balancers a change of the list, each at a random time within 300 ms after the given delay.
 func (v *VirtualLab) notifyBalancers(after time.Duration, list ...policy.Server) {
 	for _, b := range v.balancers {
 		v.scheduleAt(v.now+after+time.Duration(v.rng.IntN(300))*time.Millisecond, func() { b.updateMembers(policy.Delta, list) })
--- a/internal/lab/virtual_harm.go
+++ b/internal/lab/virtual_harm.go
@@ -2,8 +2,8 @@
 
 import "time"
 
-// Harm is how many connections an experiment harmed, of the carriers that the faults target and of all others. It is
-// written as JSON under the names of its fields.
+// Harm is how many connections an experiment harmed, of the carriers that the faults target and of all others. Its keys
+// in JSON are the names of the fields, or their tags.
 type Harm struct {
 	Targeted         Tally `json:"Stricken"`
 	Others           Tally
--- a/internal/placement/placement_test.go
+++ b/internal/placement/placement_test.go
@@ -143,9 +143,9 @@
 	assert.True(t, nothing.Feasible)
 	assert.Zero(t, nothing.Total)
 
-	none := singleHostFleet(50, 10)
-	none.Hosts = nil
-	a := Solve(none, testLimit)
+	withoutHosts := singleHostFleet(50, 10)
+	withoutHosts.Hosts = nil
+	a := Solve(withoutHosts, testLimit)
 	assert.False(t, a.Feasible)
 	assert.Equal(t, 10.0, a.ShedWorth)
 
