--- a/internal/lab/sockets_discovery.go
+++ b/internal/lab/sockets_discovery.go
@@ -83,7 +83,7 @@
 	limit := min(time.Duration(ms)*time.Millisecond, maxWatch)
 	switch s.awaitChange(since, limit) {
 	case unreachable:
-		http.Error(w, "discovery is unreachable", http.StatusServiceUnavailable)
+		http.Error(w, "out of reach", http.StatusServiceUnavailable)
 	case answerNow:
 		body := s.answerFor(n, since)
 		w.Header().Set("Content-Length", strconv.Itoa(len(body)))
