--- a/deploy/operator.hcl
+++ b/deploy/operator.hcl
@@ -1,22 +1,22 @@
-# The operator's own file: what the platform's configuration does not know. It is in force only where the balancer is
-# told of it (--operator, or EDGE_OPERATOR); here it stands as an example, and `bin/tealtiller check` accepts it.
-# docs/cells.md explains every line.
+# Example of an operator's file, which has the settings that are not part of the platform's configuration. A balancer
+# reads the file that --operator or EDGE_OPERATOR names, and none by default. `bin/tealtiller check` validates a file;
+# this one passes. docs/cells.md explains the cells block; the pages of the other blocks are named below.
 
-# failover {                # docs/failover.md: zone shares, as yet only told in the log
+# failover {                # docs/failover.md: zone shares, so far logged only and not applied
 #   swing = 0.25
 # }
 
 # placement {                # docs/placement.md
-#   plan   = "plan.json"     # made by bin/tealtiller plan
+#   plan   = "plan.json"     # written by bin/tealtiller plan
 #   record = "seen-{name}.jsonl"
 # }
 
 cells {
-  default = "general" # whoever is named in no cell
+  default = "general" # for carriers that no cell lists
 
   cell "general" {
     share  = 0.4
-    guests = 40 # takes at most so many connections of other cells at a time
+    guests = 40 # maximum number of overflow connections from other cells at a time
   }
 
   cell "large" {
@@ -32,7 +32,7 @@
     opens_per_second = 20
   }
 
-  # Takes a carrier from one cell to another between 03:00 and 03:10.
+  # Moves a carrier from one cell to another between 03:00 and 03:10 UTC.
   move "ynys-air" {
     from  = "small"
     to    = "general"
