--- a/internal/lab/drainaudit/audit.go
+++ b/internal/lab/drainaudit/audit.go
@@ -1,6 +1,6 @@
-// Package drainaudit judges whether a balancer kept the rule on drains: no first byte of a new request goes to a host later
-// than the grace after the balancer was told that the host drains or is gone. It works from the operators' pages alone and
-// shares no code with the balancer; docs/design/drain-search.md quotes the sentences behind each clock.
+// Package drainaudit judges whether a balancer kept the drain rule: the first byte of a new request may go to a host no
+// later than the grace after the balancer was notified that the host drains or is gone. It decides from the operators'
+// pages alone and shares no code with the balancer; docs/design/drain-search.md quotes the sentences behind each time limit.
 package drainaudit
 
 import (
@@ -8,40 +8,41 @@
 	"time"
 )
 
-// Phase is what discovery says of a host.
+// Phase is the state of a host according to discovery.
 type Phase int
 
-// The phases.
+// The phases of a host.
 const (
 	InService Phase = iota
 	Terminating
 	Terminated
 )
 
-// Rules are the figures of a deployment that the rule depends on.
+// Rules are the settings of a deployment that the drain rule depends on.
 type Rules struct {
-	Pushed    bool          // lists are pushed to an agent on the balancer's machine; else balancers ask discovery
+	Pushed    bool          // lists are pushed to an agent on the balancer's machine; otherwise balancers poll discovery
 	Grace     time.Duration // drain_grace_ms
-	AskWithin time.Duration // how long a balancer without a watch may go without asking
-	Exempt    Exemptions    // readings of the pages that are milder than their words; none for a strict judge
+	AskWithin time.Duration // longest time without a call for a balancer that has no watch
+	Exempt    Exemptions    // lenient readings of the pages that the judge applies; none for a strict judge
 }
 
-// The clocks of the pages.
+// The time limits of the operators' pages.
 const (
-	slack         = 50 * time.Millisecond // by which each time limit grows on sockets
-	toldAnyway    = 6 * time.Second       // after discovery had a change and could be reached, or a watch fell silent
-	afterLongPoll = 2 * time.Second       // after the wait of a long poll that fell silent is over, if that is later
-	afterReload   = 4 * time.Second       // after a SIGHUP that names another discovery
-	watchGap      = 200 * time.Millisecond
-	// silentGap is how long after a silent call to an agent the next one still belongs to the same silence: the gap of a
-	// watch, and the time for which a balancer may be held up.
-	silentGap    = watchGap + 200*time.Millisecond
-	failedFactor = 4 // of AskWithin, after a failed call
-	// promptCall is how soon the first call of a process has to come to count as made at its start.
-	promptCall = time.Second
+	slack          = 50 * time.Millisecond // tolerance added to each time limit, as the run uses sockets
+	notifiedWithin = 6 * time.Second       // after discovery had a change and could be reached, or after a watch fell silent
+	longPollMargin = 2 * time.Second       // after the maximum wait of a long poll that fell silent, if that is later
+	reloadLimit    = 4 * time.Second       // after a SIGHUP that names another discovery
+	watchGap       = 200 * time.Millisecond
+	// silentGap is the longest gap after a silent call to an agent for which the next call still belongs to the same silence:
+	// the gap between two calls of a watch plus the time for which a balancer may be held up.
+	silentGap        = watchGap + 200*time.Millisecond
+	failedCallFactor = 4 // factor on AskWithin after a failed call
+	// promptCallLimit is the longest time from the start of a process to its first call for which the call counts as made at
+	// the start.
+	promptCallLimit = time.Second
 )
 
-// Audit keeps what happened, in order of time. Times are readings of one clock.
+// Audit records the events of a run in order of time. All times are readings of one clock.
 type Audit struct {
 	rules     Rules
 	changes   []change
@@ -49,7 +50,7 @@
 	processes map[int]*process
 }
 
-// change is one change of the host list as discovery, or the agent, had it.
+// change is one change of the host list, at the time at which discovery or the agent had it.
 type change struct {
 	at    time.Duration
 	host  string
@@ -58,90 +59,93 @@
 
 type span struct{ from, to time.Duration }
 
-// New makes an audit of a fleet.
+// New returns an audit without any event.
 func New(rules Rules) *Audit { return &Audit{rules: rules, processes: map[int]*process{}} }
 
-// Changed takes a change of the list. Changes come in order of time; the revision of the list is their number.
+// Changed records a change of the host list. Changes have to be recorded in order of time; the revision of the list is
+// their count.
 func (a *Audit) Changed(at time.Duration, host string, phase Phase) {
 	a.changes = append(a.changes, change{at, host, phase})
 }
 
-// Outage takes that discovery is down in a span of time; where lists are pushed, the agent is silent.
+// Outage records a span of time in which discovery is down or, where lists are pushed, the agent is silent.
 func (a *Audit) Outage(from, to time.Duration) { a.outages = append(a.outages, span{from, to}) }
 
-// Break is a broken rule.
-type Break struct {
-	Process   int
-	Host      string
-	Sent      time.Duration // the first byte
-	Told      time.Duration // of the drain
-	Late      time.Duration // over grace and slack
-	ToldBy    string        // the clock that told first
-	Happened  time.Duration // when discovery had the change
-	Restarted time.Duration // when this process started
-	Excuses   Exemptions    // each of which alone would excuse it
-	Together  bool          // only several readings together would
+// Violation is a first byte that broke the drain rule.
+type Violation struct {
+	Process      int
+	Host         string
+	Sent         time.Duration // when the first byte was sent
+	Notified     time.Duration // when the drain counts as notified
+	Late         time.Duration // beyond grace and slack
+	Clock        string        // the time limit that expired first
+	Published    time.Duration // when discovery had the change
+	Started      time.Duration // when the process started
+	Exemptions   Exemptions    // the lenient readings each of which alone would allow the byte
+	OnlyCombined bool          // only several lenient readings combined would allow it
 }
 
-// Excused names the milder reading of the pages that would excuse a break; empty if none does.
-func (b *Break) Excused() string {
-	if b.Together {
+// Excuse names the lenient reading of the pages that would allow the byte; it is empty if none does.
+func (b *Violation) Excuse() string {
+	if b.OnlyCombined {
 		return "several readings together"
 	}
-	return b.Excuses.String()
+	return b.Exemptions.String()
 }
 
-// Since has all times count from a moment.
-func (b *Break) Since(moment time.Duration) {
-	for _, at := range []*time.Duration{&b.Sent, &b.Told, &b.Happened, &b.Restarted} {
-		*at -= moment
+// MakeRelativeTo makes all times of the violation relative to an origin.
+func (b *Violation) MakeRelativeTo(origin time.Duration) {
+	for _, at := range []*time.Duration{&b.Sent, &b.Notified, &b.Published, &b.Started} {
+		*at -= origin
 	}
 }
 
-func (b *Break) Error() string {
-	text := fmt.Sprintf("process %d (started %v) sent to %s at %v, %v too late: discovery had the drain at %v, told at %v (%s)",
-		b.Process, b.Restarted, b.Host, b.Sent, b.Late, b.Happened, b.Told, b.ToldBy)
-	if mild := b.Excused(); mild != "" {
-		text += "; only a mild reading excuses it: " + mild
+func (b *Violation) Error() string {
+	text := fmt.Sprintf("process %d (started %v) sent to %s at %v, %v too late: discovery had the drain at %v, notified at %v (%s)",
+		b.Process, b.Started, b.Host, b.Sent, b.Late, b.Published, b.Notified, b.Clock)
+	if excuse := b.Excuse(); excuse != "" {
+		text += "; only a lenient reading excuses it: " + excuse
 	}
 	return text
 }
 
-// Sent judges the first byte of a new request to a host; nil where the rule holds.
-func (a *Audit) Sent(number int, host string, at time.Duration) *Break {
-	worst := a.judge(number, host, at)
-	if worst == nil {
+// FirstByteSent judges the first byte of a new request to a host. It returns nil where the rule holds; otherwise the
+// violation lists the lenient readings that would allow the byte.
+func (a *Audit) FirstByteSent(number int, host string, at time.Duration) *Violation {
+	violation := a.judge(number, host, at)
+	if violation == nil {
 		return nil
 	}
 	strict := a.rules.Exempt
-	for _, e := range Mild.Each() {
-		a.rules.Exempt = strict | e
+	for _, exemption := range LenientReadings.Each() {
+		a.rules.Exempt = strict | exemption
 		if a.judge(number, host, at) == nil {
-			worst.Excuses |= e
+			violation.Exemptions |= exemption
 		}
 	}
-	a.rules.Exempt = Mild
-	worst.Together = worst.Excuses == 0 && a.judge(number, host, at) == nil
+	a.rules.Exempt = LenientReadings
+	violation.OnlyCombined = violation.Exemptions == 0 && a.judge(number, host, at) == nil
 	a.rules.Exempt = strict
-	return worst
+	return violation
 }
 
-func (a *Audit) judge(number int, host string, at time.Duration) *Break {
+// judge applies the rule under the exemptions that are set.
+func (a *Audit) judge(number int, host string, at time.Duration) *Violation {
 	p := a.processes[number]
 	allowed := at - a.rules.Grace - slack
-	var worst *Break
+	var violation *Violation
 	for i, c := range a.changes {
 		if c.host != host || c.at > at {
 			continue
 		}
-		told, by := a.told(p, i)
+		notified, clock := a.notifiedAt(p, i)
 		switch {
-		case c.phase == InService && told <= at:
-			worst = nil
-		case c.phase != InService && told < allowed && worst == nil:
-			worst = &Break{Process: number, Host: host, Sent: at, Told: told, Late: allowed - told, ToldBy: by,
-				Happened: c.at, Restarted: p.started}
+		case c.phase == InService && notified <= at:
+			violation = nil
+		case c.phase != InService && notified < allowed && violation == nil:
+			violation = &Violation{Process: number, Host: host, Sent: at, Notified: notified, Late: allowed - notified, Clock: clock,
+				Published: c.at, Started: p.started}
 		}
 	}
-	return worst
+	return violation
 }
--- a/internal/lab/drainaudit/audit_test.go
+++ b/internal/lab/drainaudit/audit_test.go
@@ -13,18 +13,19 @@
 	s     = time.Second
 )
 
-// latest is the latest first byte that an audit lets pass, to the millisecond.
-func latest(a *Audit, from, to time.Duration) time.Duration {
+// latestAllowed returns the time of the latest first byte that an audit allows, to the millisecond.
+func latestAllowed(a *Audit, from, to time.Duration) time.Duration {
 	for at := from; at <= to; at += ms {
-		if a.Sent(0, "h", at) != nil {
+		if a.FirstByteSent(0, "h", at) != nil {
 			return at - ms
 		}
 	}
 	return never
 }
 
-// askedAudit is a process that asks, starts at 0 with the list before any change, and has a watch open from 10 ms on.
-func askedAudit(wait time.Duration) (*Audit, *Call) {
+// pollingAudit returns an audit of a process that polls discovery, starts at 0 with the list before any change, and has a
+// watch open from 10 ms on.
+func pollingAudit(wait time.Duration) (*Audit, *Call) {
 	a := New(Rules{Grace: grace, AskWithin: 10 * s})
 	a.Started(0, 0, 0)
 	first := a.Called(0, 5*ms, 0)
@@ -32,12 +33,12 @@
 	return a, a.Called(0, 10*ms, wait)
 }
 
-// Each case is a sentence of the pages; docs/design/drain-search.md names it.
-func TestToldByTheClocksOfLists(t *testing.T) {
+// Each case is a sentence of the operators' pages; docs/design/drain-search.md names it.
+func TestPollDeadlines(t *testing.T) {
 	for name, c := range map[string]struct {
-		play func(a *Audit, watch *Call)
-		told time.Duration
-		mild time.Duration // as all mild readings have it; 0 where they change nothing
+		play     func(a *Audit, watch *Call)
+		notified time.Duration
+		lenient  time.Duration // under all lenient readings; 0 where they make no difference
 	}{
 		"written on a watch": {func(a *Audit, watch *Call) {
 			a.Changed(2*s, "h", Terminating)
@@ -51,12 +52,12 @@
 			watch.Silent(7 * s)
 			a.Changed(7500*ms, "h", Terminated)
 		}, 13500 * ms, 0},
-		"refused, perhaps for being crowded: that adds nothing": {func(a *Audit, watch *Call) {
+		"refused, perhaps due to overload: no postponement": {func(a *Audit, watch *Call) {
 			watch.Refused(s)
 			a.Changed(2*s, "h", Terminating)
 			a.Called(0, 3*s, 0).Refused(3500 * ms)
 		}, 8 * s, 9500 * ms},
-		"a second call in a row that falls silent adds nothing": {func(a *Audit, watch *Call) {
+		"a second consecutive call that falls silent: no postponement": {func(a *Audit, watch *Call) {
 			watch.Failed(s)
 			a.Changed(2*s, "h", Terminating)
 			first := a.Called(0, 3*s, 2*s)
@@ -69,12 +70,12 @@
 			a.Outage(s, 9*s)
 			a.Changed(2*s, "h", Terminating)
 		}, 15 * s, 0},
-		"a call that failed in any other way adds nothing": {func(a *Audit, watch *Call) {
+		"a call that failed in any other way: no postponement": {func(a *Audit, watch *Call) {
 			a.Changed(2*s, "h", Terminating)
 			watch.Failed(2 * s)
 			a.Called(0, 4*s, 0).Failed(5 * s)
 		}, 8 * s, 0},
-		"a long poll after a failure adds nothing, but for its silence": {func(a *Audit, watch *Call) {
+		"a long poll after a failure: postponed by its silence alone": {func(a *Audit, watch *Call) {
 			watch.Failed(s)
 			a.Changed(2*s, "h", Terminating)
 			a.Called(0, 3*s, 8*s).Silent(3 * s)
@@ -86,72 +87,73 @@
 		}, 7 * s, 0},
 	} {
 		t.Run(name, func(t *testing.T) {
-			a, watch := askedAudit(8 * s)
+			a, watch := pollingAudit(8 * s)
 			c.play(a, watch)
-			assert.Equal(t, c.told+grace+slack, latest(a, 2*s, 20*s))
-			a.rules.Exempt = Mild
-			assert.Equal(t, max(c.told, c.mild)+grace+slack, latest(a, 2*s, 20*s), "by all mild readings")
+			assert.Equal(t, c.notified+grace+slack, latestAllowed(a, 2*s, 20*s))
+			a.rules.Exempt = LenientReadings
+			assert.Equal(t, max(c.notified, c.lenient)+grace+slack, latestAllowed(a, 2*s, 20*s), "under all lenient readings")
 		})
 	}
 }
 
-func TestToldByTheClocksOfPushedLists(t *testing.T) {
+func TestAgentDeadlines(t *testing.T) {
 	for name, c := range map[string]struct {
-		play func(a *Audit)
-		told time.Duration
+		play     func(a *Audit)
+		notified time.Duration
 	}{
-		"the agent has it, watch open or not":       {func(a *Audit) { a.Changed(2*s, "h", Terminating) }, 2 * s},
-		"a new process: from its first moment on":   {func(a *Audit) { a.Changed(2*s, "h", Terminating); a.Started(0, 3*s, 0) }, 3 * s},
-		"an outage: at its end":                     {func(a *Audit) { a.Outage(s, 5*s); a.Changed(2*s, "h", Terminating) }, 5 * s},
-		"SIGHUP: 4 s later":                         {func(a *Audit) { a.Reloaded(0, 1900*ms); a.Changed(2*s, "h", Terminating) }, 5900 * ms},
-		"told before SIGHUP: it stays told":         {func(a *Audit) { a.Changed(2*s, "h", Terminating); a.Reloaded(0, 2100*ms) }, 2 * s},
-		"a watch that fell silent: 6 s after that":  {func(a *Audit) { a.Called(0, s, s).Silent(1500 * ms); a.Changed(2*s, "h", Terminating) }, 7500 * ms},
-		"listed so in the configuration: its start": {func(a *Audit) { a.Changed(2*s, "h", Terminating); a.Started(0, 4*s, 1) }, 4 * s},
+		"the agent has it, watch open or not":            {func(a *Audit) { a.Changed(2*s, "h", Terminating) }, 2 * s},
+		"a new process: from its first moment on":        {func(a *Audit) { a.Changed(2*s, "h", Terminating); a.Started(0, 3*s, 0) }, 3 * s},
+		"an outage: at its end":                          {func(a *Audit) { a.Outage(s, 5*s); a.Changed(2*s, "h", Terminating) }, 5 * s},
+		"SIGHUP: 4 s later":                              {func(a *Audit) { a.Reloaded(0, 1900*ms); a.Changed(2*s, "h", Terminating) }, 5900 * ms},
+		"notified before SIGHUP: stays notified":         {func(a *Audit) { a.Changed(2*s, "h", Terminating); a.Reloaded(0, 2100*ms) }, 2 * s},
+		"a watch that fell silent: 6 s after that":       {func(a *Audit) { a.Called(0, s, s).Silent(1500 * ms); a.Changed(2*s, "h", Terminating) }, 7500 * ms},
+		"in the list of the configuration: at the start": {func(a *Audit) { a.Changed(2*s, "h", Terminating); a.Started(0, 4*s, 1) }, 4 * s},
 	} {
 		t.Run(name, func(t *testing.T) {
 			a := New(Rules{Pushed: true, Grace: grace, AskWithin: 10 * s})
 			a.Started(0, 0, 0)
 			c.play(a)
-			assert.Equal(t, c.told+grace+slack, latest(a, 2*s, 20*s))
+			assert.Equal(t, c.notified+grace+slack, latestAllowed(a, 2*s, 20*s))
 		})
 	}
 }
 
-// A balancer with no watch is held to its list for the time to ask within; a call that failed gives it four times that.
-func TestToldWithoutAWatch(t *testing.T) {
+// A balancer without a watch may use its list for AskWithin; a failed call extends that to four times as long.
+func TestUnwatchedDeadline(t *testing.T) {
 	a := New(Rules{Grace: grace, AskWithin: 2 * s})
 	a.Started(0, 0, 0)
 	first := a.Called(0, 5*ms, 0)
 	a.Answered(0, first, 10*ms, 0)
 	a.Changed(3*s, "h", Terminating)
-	assert.Equal(t, 5*s+grace+slack, latest(a, 3*s, 20*s))
+	assert.Equal(t, 5*s+grace+slack, latestAllowed(a, 3*s, 20*s))
 }
 
-// A process that starts long after a change is told at once; a mild reading leaves it the time that its first call takes.
-func TestToldLongBeforeTheStart(t *testing.T) {
+// A process that starts long after a change counts as notified at its start; a lenient reading allows it the time of its
+// first call in addition.
+func TestChangeLongBeforeStart(t *testing.T) {
 	a := New(Rules{Grace: grace, AskWithin: 10 * s})
 	a.Changed(s, "h", Terminating)
 	a.Started(0, 20*s, 0)
 	first := a.Called(0, 20100*ms, 0)
 	a.Answered(0, first, 20150*ms, 1)
-	assert.Equal(t, 20*s+grace+slack, latest(a, 20*s, 30*s))
-	broken := a.Sent(0, "h", 20*s+grace+slack+ms)
-	assert.Equal(t, FirstCalls, broken.Excuses)
-	assert.Contains(t, broken.Error(), "only a mild reading excuses it: first calls")
+	assert.Equal(t, 20*s+grace+slack, latestAllowed(a, 20*s, 30*s))
+	violation := a.FirstByteSent(0, "h", 20*s+grace+slack+ms)
+	assert.Equal(t, FirstCalls, violation.Exemptions)
+	assert.Contains(t, violation.Error(), "only a lenient reading excuses it: first calls")
 	a.rules.Exempt = FirstCalls
-	assert.Equal(t, 20150*ms+grace+slack, latest(a, 20*s, 30*s))
+	assert.Equal(t, 20150*ms+grace+slack, latestAllowed(a, 20*s, 30*s))
 }
 
-// A host that is back in service may be sent to, once that is told; another host's drain is none of its business.
+// A host that is back in service may receive requests once that is notified. The drain of one host does not affect another.
 func TestBackInService(t *testing.T) {
-	a, watch := askedAudit(8 * s)
+	a, watch := pollingAudit(8 * s)
 	a.Changed(2*s, "h", Terminating)
 	a.Answered(0, watch, 2*s, 1)
-	assert.NotNil(t, a.Sent(0, "h", 4*s))
-	assert.Nil(t, a.Sent(0, "other", 4*s))
+	assert.NotNil(t, a.FirstByteSent(0, "h", 4*s))
+	assert.Nil(t, a.FirstByteSent(0, "other", 4*s))
 	second := a.Called(0, 2*s, 8*s)
 	a.Changed(5*s, "h", InService)
-	assert.NotNil(t, a.Sent(0, "h", 5100*ms), "not told yet")
+	assert.NotNil(t, a.FirstByteSent(0, "h", 5100*ms), "not notified yet")
 	a.Answered(0, second, 5200*ms, 2)
-	assert.Nil(t, a.Sent(0, "h", 5200*ms))
+	assert.Nil(t, a.FirstByteSent(0, "h", 5200*ms))
 }
--- a/internal/lab/drainaudit/exemption.go
+++ b/internal/lab/drainaudit/exemption.go
@@ -2,31 +2,32 @@
 
 import "strings"
 
-// Exemptions are readings of the pages that are milder than their words. A strict judge has none.
+// Exemptions is a set of readings of the operators' pages that are more lenient than their wording. A strict judge has none.
 type Exemptions uint
 
-// The readings.
+// The lenient readings.
 const (
-	// RefusedCalls: a call that discovery refuses tells that it could not be reached until then, though it may refuse for
-	// being crowded.
+	// RefusedCalls: a refused call shows that discovery could not be reached until then, though discovery may also refuse
+	// because it is overloaded.
 	RefusedCalls Exemptions = 1 << iota
-	// FirstCalls: the first call of a process, answered late, under way or failed, moves on what counts as told at its start.
+	// FirstCalls: while the first call of a process is open, and if it is answered late or fails, the changes from before
+	// the start of the process count as notified correspondingly later.
 	FirstCalls
-	// FurtherSilence: each further call in a row that falls silent moves the moment on as the first one does.
+	// FurtherSilence: each further consecutive call that falls silent postpones the notification as the first one does.
 	FurtherSilence
-	// AgentFirstCalls: the same as FirstCalls where lists are pushed.
+	// AgentFirstCalls is FirstCalls for lists that are pushed.
 	AgentFirstCalls
-	allExemptions = iota
+	exemptionCount = iota
 )
 
-// Mild are all readings.
-const Mild = Exemptions(1<<allExemptions - 1)
+// LenientReadings is the set of all lenient readings.
+const LenientReadings = Exemptions(1<<exemptionCount - 1)
 
-var exemptionNames = [allExemptions]string{"refused calls", "first calls", "further silence", "first calls to an agent"}
+var exemptionNames = [exemptionCount]string{"refused calls", "first calls", "further silence", "first calls to an agent"}
 
-// Each are the readings, one by one.
+// Each returns the readings of the set one by one.
 func (e Exemptions) Each() (all []Exemptions) {
-	for i := range allExemptions {
+	for i := range exemptionCount {
 		if one := Exemptions(1 << i); e&one != 0 {
 			all = append(all, one)
 		}
@@ -34,10 +35,10 @@
 	return all
 }
 
-// String names the readings.
+// String returns the names of the readings, separated by commas.
 func (e Exemptions) String() string {
 	var names []string
-	for i := range allExemptions {
+	for i := range exemptionCount {
 		if e&(1<<i) != 0 {
 			names = append(names, exemptionNames[i])
 		}
--- a/internal/lab/drainaudit/process.go
+++ b/internal/lab/drainaudit/process.go
@@ -2,17 +2,17 @@
 
 import "time"
 
-// process is what one balancer's process did, as discovery and the operating system saw it.
+// process is what one balancer process did, as seen by discovery and the operating system.
 type process struct {
-	started time.Duration
-	known   int // revision of the list in its configuration
-	reloads []time.Duration
-	calls   []*Call
-	written []writing
+	started       time.Duration
+	knownRevision int // revision of the list in its configuration
+	reloads       []time.Duration
+	calls         []*Call
+	answers       []writtenAnswer
 }
 
-// writing is the moment in which discovery had written all changes up to a revision to the process.
-type writing struct {
+// writtenAnswer is the time at which discovery had written all changes up to a revision to the process.
+type writtenAnswer struct {
 	at       time.Duration
 	revision int
 }
@@ -20,12 +20,12 @@
 // Call is one call to discovery.
 type Call struct {
 	began        time.Duration
-	ended        time.Duration // never, while it is open
-	wait         time.Duration // that it let discovery hold its answer back
-	silent       time.Duration // since when nothing more can come on it; never, if it is sound
+	ended        time.Duration // never while the call is open
+	maxWait      time.Duration // how long discovery may hold the answer back
+	silentSince  time.Duration // from when on no data can arrive on the call; never if the call is sound
 	result       result
-	afterFailure bool          // the call before it had no answer by then
-	followed     time.Duration // when the next call began, which may be while this one is open; never before
+	afterFailure bool          // the previous call had no answer when this one began
+	nextBegan    time.Duration // when the next call began, possibly while this one was open; never if there is none
 }
 
 type result int
@@ -39,57 +39,59 @@
 
 const never = time.Duration(1<<63 - 1)
 
-// Started takes the first moment of a process that holds the list of a revision; one of the same number is over.
-func (a *Audit) Started(number int, at time.Duration, known int) {
-	a.processes[number] = &process{started: at, known: known}
+// Started records the start of a process whose configuration has the list of a revision. It replaces the earlier process
+// of the same number.
+func (a *Audit) Started(number int, at time.Duration, knownRevision int) {
+	a.processes[number] = &process{started: at, knownRevision: knownRevision}
 }
 
-// Reloaded takes a SIGHUP after which discovery is elsewhere.
+// Reloaded records a SIGHUP that moves discovery to another address.
 func (a *Audit) Reloaded(number int, at time.Duration) {
 	p := a.processes[number]
 	p.reloads = append(p.reloads, at)
 }
 
-// Called takes a call, which may wait so long for news.
-func (a *Audit) Called(number int, at, wait time.Duration) *Call {
+// Called records a call to discovery that may wait for changes for up to maxWait.
+func (a *Audit) Called(number int, at, maxWait time.Duration) *Call {
 	p := a.processes[number]
-	c := &Call{began: at, ended: never, silent: never, followed: never, wait: wait}
+	c := &Call{began: at, ended: never, silentSince: never, nextBegan: never, maxWait: maxWait}
 	if n := len(p.calls); n > 0 {
-		before := p.calls[n-1]
-		c.afterFailure = before.result != answered
-		before.followed = at
+		previous := p.calls[n-1]
+		c.afterFailure = previous.result != answered
+		previous.nextBegan = at
 	}
 	p.calls = append(p.calls, c)
 	return c
 }
 
-// Answered takes that discovery has written an answer to a call, with all changes up to a revision.
+// Answered records that discovery has written an answer with all changes up to a revision.
 func (a *Audit) Answered(number int, c *Call, at time.Duration, revision int) {
 	c.result, c.ended = answered, at
 	p := a.processes[number]
-	p.written = append(p.written, writing{at, revision})
+	p.answers = append(p.answers, writtenAnswer{at, revision})
 }
 
-// Refused takes that discovery has turned a call down, as it has too many, or ended it in an outage.
+// Refused records that discovery has refused the call because it is overloaded, or ended it in an outage.
 func (c *Call) Refused(at time.Duration) { c.result, c.ended = refused, at }
 
-// Failed takes that a call has ended without an answer of use: garbled, or given up by the balancer.
+// Failed records that the call has ended without a usable answer: the answer was malformed, or the balancer abandoned the
+// call. It has no effect on a call that has ended already.
 func (c *Call) Failed(at time.Duration) {
 	if c.result == open {
 		c.result, c.ended = failed, at
 	}
 }
 
-// Silent takes that nothing more comes on a call, though its connection stays open.
-func (c *Call) Silent(at time.Duration) { c.silent = min(c.silent, at) }
+// Silent records that no more data arrives on the call although its connection stays open.
+func (c *Call) Silent(at time.Duration) { c.silentSince = min(c.silentSince, at) }
 
-// lastsAt tells whether a call, silent or not, is open at a moment.
-func (c *Call) lastsAt(at time.Duration) bool { return c.began <= at && at < c.over() }
+// isOpenAt reports whether the call, silent or not, is open at a time.
+func (c *Call) isOpenAt(at time.Duration) bool { return c.began <= at && at < c.effectiveEnd() }
 
-// over is when a call has ended, or the next one has begun.
-func (c *Call) over() time.Duration { return min(c.ended, c.followed) }
+// effectiveEnd is when the call ended or the next one began, whichever is earlier.
+func (c *Call) effectiveEnd() time.Duration { return min(c.ended, c.nextBegan) }
 
-// endedJustBefore tells whether a call ended so shortly before a moment that the next one follows closely.
-func (c *Call) endedJustBefore(at time.Duration) bool {
-	return c.over() <= at && at-c.over() <= silentGap
+// endedShortlyBefore reports whether the call ended so shortly before a time that the next one counts as its successor.
+func (c *Call) endedShortlyBefore(at time.Duration) bool {
+	return c.effectiveEnd() <= at && at-c.effectiveEnd() <= silentGap
 }
--- a/internal/lab/drainsearch/attempt.go
+++ b/internal/lab/drainsearch/attempt.go
@@ -89,7 +89,7 @@
 	b.sent++
 	b.world.explain("balancer %d sends to %s, written at %.3f (mid-flow: %v)",
 		b.number, a.host, (b.effect - start).Seconds(), a.client.MidFlow)
-	if broken := b.world.audit.Sent(b.number, a.host, b.effect); broken != nil && b.world.broken == nil {
+	if broken := b.world.audit.FirstByteSent(b.number, a.host, b.effect); broken != nil && b.world.broken == nil {
 		b.world.broken, b.world.stopped = broken, true
 		b.world.explain("BROKEN: %v", broken)
 	}
--- a/internal/lab/drainsearch/balancer.go
+++ b/internal/lab/drainsearch/balancer.go
@@ -44,7 +44,7 @@
 	w.explain("balancer %d starts with revision %d", b.number, revision)
 	b.process++
 	b.running, b.heard, b.told, b.links = false, false, 0, map[int]*link{}
-	known, err := discovery.Parse([]byte(w.service.history.Whole(revision)))
+	known, err := discovery.Parse([]byte(w.service.history.FullList(revision)))
 	if err != nil {
 		panic(err)
 	}
--- a/internal/lab/drainsearch/calls.go
+++ b/internal/lab/drainsearch/calls.go
@@ -151,7 +151,7 @@
 			w.at(c.answerAt, func() { s.answer(l, c) })
 			return
 		}
-		if since < 0 || since < s.history.Revision() || wait == 0 {
+		if since < 0 || since < s.history.LatestRevision() || wait == 0 {
 			s.answer(l, c)
 			return
 		}
@@ -190,11 +190,11 @@
 	}
 	delete(s.calls, l)
 	b, closes := l.balancer, s.active(Closing, l.balancer.number) != nil
-	body := s.history.Whole(s.history.Revision())
+	body := s.history.FullList(s.history.LatestRevision())
 	if c.since >= 0 && s.active(Whole, b.number) == nil {
-		body = s.history.Changes(c.since)
+		body = s.history.Delta(c.since)
 	}
-	good, revision := true, s.history.Revision()
+	good, revision := true, s.history.LatestRevision()
 	switch {
 	case c.since < 0 && !b.heard && (s.world.script.Pushed || s.active(Stale, b.number) != nil):
 		// what an agent cannot tell a new process, and that the first list of a discovery is an old one, nobody can know
@@ -202,11 +202,11 @@
 		body, good = body[:len(body)/2], false
 	case s.active(Garbled, b.number) != nil:
 		body, good = strings.Replace(body, `"phase"`, `"phrase"`, 1)+"]", false
-	case s.active(Duplicate, b.number) != nil && s.history.Revision() > 0:
-		body, good = s.history.Contradiction(), false
-	case s.active(Stale, b.number) != nil && s.history.Revision() > 0:
-		revision = s.history.Revision() / 2
-		body, good = s.history.Whole(revision), revision >= b.told // one that is no older than what was told before is just late
+	case s.active(Duplicate, b.number) != nil && s.history.LatestRevision() > 0:
+		body, good = s.history.DuplicateHostAnswer(), false
+	case s.active(Stale, b.number) != nil && s.history.LatestRevision() > 0:
+		revision = s.history.LatestRevision() / 2
+		body, good = s.history.FullList(revision), revision >= b.told // one that is no older than what was told before is just late
 	}
 	if good {
 		b.heard, b.told = true, revision
--- a/internal/lab/drainsearch/search.go
+++ b/internal/lab/drainsearch/search.go
@@ -13,7 +13,7 @@
 type Found struct {
 	Seed   uint64
 	Script *Script
-	Break  *drainaudit.Break
+	Break  *drainaudit.Violation
 }
 
 // Tally is what a search has played.
@@ -63,7 +63,7 @@
 				continue
 			}
 			mu.Lock()
-			if mild := broken.Excused(); mild != "" {
+			if mild := broken.Excuse(); mild != "" {
 				excused[mild]++
 			} else {
 				found = append(found, Found{seed, script, broken})
--- a/internal/lab/drainsearch/search_test.go
+++ b/internal/lab/drainsearch/search_test.go
@@ -15,7 +15,7 @@
 // The balancer's own code keeps the rule on the sequences of these seeds; each run plays the same ones. Where the pages leave
 // room the readings of the design page hold; TestNoSequenceBreaksTheRuleReadStrictly has none of them.
 func TestNoSequenceBreaksTheRule(t *testing.T) {
-	tally := Search(1, shortSearch, 2, time.Time{}, Options{Exempt: drainaudit.Mild})
+	tally := Search(1, shortSearch, 2, time.Time{}, Options{Exempt: drainaudit.LenientReadings})
 	assert.Equal(t, shortSearch, tally.Sequences)
 	assert.Greater(t, tally.Sent, 20*shortSearch, "first bytes judged")
 	assert.Empty(t, tally.Excused)
--- a/internal/lab/drainsearch/service.go
+++ b/internal/lab/drainsearch/service.go
@@ -69,7 +69,7 @@
 			h.Address = address(s.ports[c.Host])
 		}
 	}
-	revision := s.history.Change(c.Host, *h)
+	revision := s.history.AddChange(c.Host, *h)
 	at := max(start+c.At, s.world.now)
 	if start+c.At < start {
 		at = start + c.At
@@ -87,7 +87,7 @@
 func (s *service) revisionAt(at time.Duration) int {
 	n := 0
 	for _, c := range s.world.script.Changes {
-		if start+c.At <= at && n < s.history.Revision() {
+		if start+c.At <= at && n < s.history.LatestRevision() {
 			n++
 		}
 	}
--- a/internal/lab/drainsearch/world.go
+++ b/internal/lab/drainsearch/world.go
@@ -26,11 +26,11 @@
 	audit     *drainaudit.Audit
 	service   *service
 	balancers []*balancer
-	broken    *drainaudit.Break
+	broken    *drainaudit.Violation
 }
 
 // Play plays a script and tells the first break of the rule; nil if it was kept. Sent is how many first bytes were judged.
-func Play(s *Script, options Options) (broken *drainaudit.Break, sent int) {
+func Play(s *Script, options Options) (broken *drainaudit.Violation, sent int) {
 	w := &world{script: s, options: options, audit: drainaudit.New(drainaudit.Rules{
 		Pushed: s.Pushed, Grace: s.Grace, AskWithin: s.AskWithin, Exempt: options.Exempt,
 	})}
@@ -43,7 +43,7 @@
 	w.schedule()
 	w.run(start + s.Length)
 	if w.broken != nil {
-		w.broken.Since(start)
+		w.broken.MakeRelativeTo(start)
 	}
 	for _, b := range w.balancers {
 		sent += b.sent
--- a/internal/lab/hostlist/hostlist.go
+++ b/internal/lab/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist is the host list as the laboratory's stand-ins for discovery tell it: the hosts at first, and a history
-// of changes, one a revision.
+// Package hostlist encodes the host list for the lab's discovery stand-ins: the initial hosts and a history of changes, each
+// of which makes a new revision.
 package hostlist
 
 import (
@@ -9,55 +9,56 @@
 	"tealtiller/internal/lab/drainaudit"
 )
 
-// FirstRevision is the number of the list before any change, as discovery tells it.
+// FirstRevision is the revision on the wire of the list before any change.
 const FirstRevision = 41
 
-// Host is a host as the list has it.
+// Host is an entry of the host list.
 type Host struct {
 	ID        string
 	Address   string
 	Phase     drainaudit.Phase
-	StartedMS int64 // Unix time in milliseconds; 0 for long ago
+	StartedMS int64 // Unix time in milliseconds; 0 if the host started long ago
 }
 
-// PhaseNames are the phases as discovery tells them.
+// PhaseNames are the names of the phases on the wire.
 var PhaseNames = map[drainaudit.Phase]string{
 	drainaudit.InService: "in_service", drainaudit.Terminating: "terminating", drainaudit.Terminated: "terminated",
 }
 
+// entry returns the host as JSON.
 func (h *Host) entry() string {
 	return fmt.Sprintf(`{"id":%q,"host_port":%q,"locality":"a","cell":1,"phase":%q,"size":1,"up_since_ms":%d}`,
 		h.ID, h.Address, PhaseNames[h.Phase], h.StartedMS)
 }
 
-// History is the list with all its changes. Revisions count from 0, the list before any change.
+// History is the host list with all its changes. Revisions count from 0, the list before any change.
 type History struct {
-	first   []Host
-	entries []string // of changes, in order
-	changed []int    // the host of each
+	initial      []Host
+	entries      []string // of the changes, in order
+	changedHosts []int    // index of the host of each change
 }
 
-// New makes a history of the hosts at first.
-func New(hosts []Host) *History { return &History{first: hosts} }
+// New returns a history that starts with the given hosts.
+func New(hosts []Host) *History { return &History{initial: hosts} }
 
-// Change adds a change of a host, and is the revision that it makes.
-func (h *History) Change(index int, to Host) (revision int) {
-	h.entries = append(h.entries, to.entry())
-	h.changed = append(h.changed, index)
+// AddChange records a new entry for a host and returns the revision that it makes.
+func (h *History) AddChange(index int, host Host) (revision int) {
+	h.entries = append(h.entries, host.entry())
+	h.changedHosts = append(h.changedHosts, index)
 	return len(h.entries)
 }
 
-// Revision is the newest one.
-func (h *History) Revision() int { return len(h.entries) }
+// LatestRevision returns the newest revision.
+func (h *History) LatestRevision() int { return len(h.entries) }
 
-// Whole is the whole list as of a revision.
-func (h *History) Whole(revision int) string {
-	entries := make([]string, len(h.first))
-	for i := range h.first {
-		entries[i] = h.first[i].entry()
+// FullList returns the answer with the complete list as of a revision.
+func (h *History) FullList(revision int) string {
+	entries := make([]string, len(h.initial))
+	for i := range h.initial {
+		entries[i] = h.initial[i].entry()
 	}
 	for r := range revision {
-		entries[h.changed[r]] = h.entries[r]
+		entries[h.changedHosts[r]] = h.entries[r]
 	}
 	var members []string
 	for _, e := range entries {
@@ -65,32 +66,33 @@
 			members = append(members, e)
 		}
 	}
-	return body(revision, true, members)
+	return answerBody(revision, true, members)
 }
 
-// Changes is what is new since a revision.
-func (h *History) Changes(since int) string {
+// Delta returns the answer with the changes since a revision.
+func (h *History) Delta(since int) string {
 	latest := map[int]string{}
 	var order []int
 	for r := since; r < len(h.entries); r++ {
-		if _, seen := latest[h.changed[r]]; !seen {
-			order = append(order, h.changed[r])
+		if _, seen := latest[h.changedHosts[r]]; !seen {
+			order = append(order, h.changedHosts[r])
 		}
-		latest[h.changed[r]] = h.entries[r]
+		latest[h.changedHosts[r]] = h.entries[r]
 	}
 	var members []string
 	for _, i := range order {
 		members = append(members, latest[i])
 	}
-	return body(len(h.entries), false, members)
+	return answerBody(len(h.entries), false, members)
 }
 
-// Contradiction is an answer that names the host of the last change twice, in service last; there has to be a change.
-func (h *History) Contradiction() string {
+// DuplicateHostAnswer returns a contradictory answer that has the host of the last change twice, the second time in
+// service. There has to be at least one change.
+func (h *History) DuplicateHostAnswer() string {
 	last := len(h.entries) - 1
-	return body(len(h.entries), false, []string{h.entries[last], h.first[h.changed[last]].entry()})
+	return answerBody(len(h.entries), false, []string{h.entries[last], h.initial[h.changedHosts[last]].entry()})
 }
 
-func body(revision int, complete bool, members []string) string {
+func answerBody(revision int, complete bool, members []string) string {
 	return fmt.Sprintf(`{"revision":%d,"complete":%v,"members":[%s]}`, FirstRevision+revision, complete, strings.Join(members, ","))
 }
--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -52,7 +52,7 @@
 	limit := time.After(wait)
 	for {
 		w.mu.Lock()
-		revision, news := w.list.Revision(), w.news
+		revision, news := w.list.LatestRevision(), w.news
 		w.mu.Unlock()
 		if since < 0 || since < revision { // news from before a silence is written
 			return answers
@@ -125,10 +125,10 @@
 func (e *endpoint) body(since int) (body string, revision int, good bool) {
 	w, n := e.node.world, e.node
 	fault := func(kind drainsearch.FaultKind) bool { return w.fault(kind, n.number) != nil }
-	revision = w.list.Revision()
-	body = w.list.Whole(revision)
+	revision = w.list.LatestRevision()
+	body = w.list.FullList(revision)
 	if since >= 0 && !fault(drainsearch.Whole) {
-		body = w.list.Changes(since)
+		body = w.list.Delta(since)
 	}
 	switch first := since < 0 && !n.heard; {
 	case first && (w.script.Pushed || fault(drainsearch.Stale)):
@@ -138,10 +138,10 @@
 	case fault(drainsearch.Garbled):
 		return strings.Replace(body, `"phase"`, `"phrase"`, 1) + "]", revision, false
 	case fault(drainsearch.Duplicate) && revision > 0:
-		return w.list.Contradiction(), revision, false
+		return w.list.DuplicateHostAnswer(), revision, false
 	case fault(drainsearch.Stale) && revision > 0:
 		old := revision / 2
-		return w.list.Whole(old), old, old >= n.told
+		return w.list.FullList(old), old, old >= n.told
 	}
 	return body, revision, true
 }
--- a/internal/lab/soak/changes.go
+++ b/internal/lab/soak/changes.go
@@ -54,7 +54,7 @@
 		to.Address, to.StartedMS = address, startedMS
 	}
 	w.hosts[c.Host].listed = to
-	revision := w.list.Change(c.Host, to)
+	revision := w.list.AddChange(c.Host, to)
 	w.audit.Changed(at, to.ID, c.Phase)
 	w.note(Event{Host: to.ID, What: fmt.Sprintf("list revision %d: %s", hostlist.FirstRevision+revision, hostlist.PhaseNames[c.Phase])})
 	close(w.news)
@@ -64,7 +64,7 @@
 // revisionAt is the revision that discovery had at a moment of the script.
 func (w *world) revisionAt(at time.Duration) (revision int) {
 	for _, c := range w.script.Changes {
-		if c.At <= at && revision < w.list.Revision() {
+		if c.At <= at && revision < w.list.LatestRevision() {
 			revision++
 		}
 	}
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -107,7 +107,7 @@
 	}
 	set := fmt.Sprintf(settings, attempts, s.Connect, discovery, s.Balancers, mode, strings.Join(grades, ","), s.AskWithin, grace)
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-		n.name, n.listen, n.current().address(), s.Seed+uint64(n.number)+1, s.Sockets, w.list.Whole(n.known), set)
+		n.name, n.listen, n.current().address(), s.Seed+uint64(n.number)+1, s.Sockets, w.list.FullList(n.known), set)
 }
 
 func (n *node) configPath() string { return filepath.Join(n.folder, "config.json") }
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -28,10 +28,10 @@
 	current := q.process == q.node.process
 	q.node.mu.Unlock()
 	if current { // the list's clocks of an earlier process are gone
-		if broken := w.audit.Sent(q.node.number, a.host.listed.ID, a.began); broken != nil && broken.Late > doubt {
-			broken.Since(start)
+		if broken := w.audit.FirstByteSent(q.node.number, a.host.listed.ID, a.began); broken != nil && broken.Late > doubt {
+			broken.MakeRelativeTo(start)
 			rule := "drain"
-			if broken.Excused() != "" {
+			if broken.Excuse() != "" {
 				rule = DrainReadStrictly
 			}
 			w.broke(Break{Rule: rule, At: a.began - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id, What: broken.Error()})
