--- a/internal/lab/drainaudit/audit.go
+++ b/internal/lab/drainaudit/audit.go
@@ -1,6 +1,7 @@
 // Package drainaudit judges whether a balancer kept the drain rule: the first byte of a new request may go to a host no
 // later than the grace after the balancer was notified that the host drains or is gone. It decides from the operators'
-// pages alone and shares no code with the balancer; docs/design/drain-search.md quotes the sentences behind each time limit.
+// pages alone and shares no code with the balancer; docs/design/drain-search.md quotes the sentences behind each time
+// limit.
 package drainaudit
 
 import (
@@ -33,12 +34,12 @@
 	longPollMargin = 2 * time.Second       // after the maximum wait of a long poll that fell silent, if that is later
 	reloadLimit    = 4 * time.Second       // after a SIGHUP that names another discovery
 	watchGap       = 200 * time.Millisecond
-	// silentGap is the longest gap after a silent call to an agent for which the next call still belongs to the same silence:
-	// the gap between two calls of a watch plus the time for which a balancer may be held up.
+	// silentGap is the longest gap after a silent call to an agent for which the next call still belongs to the same
+	// silence: the gap between two calls of a watch plus the time for which a balancer may be held up.
 	silentGap        = watchGap + 200*time.Millisecond
 	failedCallFactor = 4 // factor on AskWithin after a failed call
-	// promptCallLimit is the longest time from the start of a process to its first call for which the call counts as made at
-	// the start.
+	// promptCallLimit is the longest time from the start of a process to its first call for which the call counts as
+	// made at the start.
 	promptCallLimit = time.Second
 )
 
--- a/internal/lab/drainaudit/audit_test.go
+++ b/internal/lab/drainaudit/audit_test.go
@@ -23,8 +23,8 @@
 	return never
 }
 
-// pollingAudit returns an audit of a process that polls discovery, starts at 0 with the list before any change, and has a
-// watch open from 10 ms on.
+// pollingAudit returns an audit of a process that polls discovery, starts at 0 with the list before any change, and has
+// a watch open from 10 ms on.
 func pollingAudit(wait time.Duration) (*Audit, *Call) {
 	a := New(Rules{Grace: grace, AskWithin: 10 * s})
 	a.Started(0, 0, 0)
@@ -128,8 +128,8 @@
 	assert.Equal(t, 5*s+grace+slack, latestAllowed(a, 3*s, 20*s))
 }
 
-// A process that starts long after a change counts as notified at its start; a lenient reading allows it the time of its
-// first call in addition.
+// A process that starts long after a change counts as notified at its start; a lenient reading allows it the time of
+// its first call in addition.
 func TestChangeLongBeforeStart(t *testing.T) {
 	a := New(Rules{Grace: grace, AskWithin: 10 * s})
 	a.Changed(s, "h", Terminating)
@@ -144,7 +144,8 @@
 	assert.Equal(t, 20150*ms+grace+slack, latestAllowed(a, 20*s, 30*s))
 }
 
-// A host that is back in service may receive requests once that is notified. The drain of one host does not affect another.
+// A host that is back in service may receive requests once that is notified. The drain of one host does not affect
+// another.
 func TestBackInService(t *testing.T) {
 	a, watch := pollingAudit(8 * s)
 	a.Changed(2*s, "h", Terminating)
--- a/internal/lab/drainaudit/exemption.go
+++ b/internal/lab/drainaudit/exemption.go
@@ -2,16 +2,17 @@
 
 import "strings"
 
-// Exemptions is a set of readings of the operators' pages that are more lenient than their wording. A strict judge has none.
+// Exemptions is a set of readings of the operators' pages that are more lenient than their wording. A strict judge has
+// none.
 type Exemptions uint
 
 // The lenient readings.
 const (
-	// RefusedCalls: a refused call shows that discovery could not be reached until then, though discovery may also refuse
-	// because it is overloaded.
+	// RefusedCalls: a refused call shows that discovery could not be reached until then, though discovery may also
+	// refuse because it is overloaded.
 	RefusedCalls Exemptions = 1 << iota
-	// FirstCalls: while the first call of a process is open, and if it is answered late or fails, the changes from before
-	// the start of the process count as notified correspondingly later.
+	// FirstCalls: while the first call of a process is open, and if it is answered late or fails, the changes from
+	// before the start of the process count as notified correspondingly later.
 	FirstCalls
 	// FurtherSilence: each further consecutive call that falls silent postpones the notification as the first one does.
 	FurtherSilence
--- a/internal/lab/drainaudit/notified.go
+++ b/internal/lab/drainaudit/notified.go
@@ -50,9 +50,10 @@
 	return at
 }
 
-// agentDeadline returns when a change counts as notified where lists are pushed: as soon as the agent has it, whether or
-// not a watch is open, but not before the process starts. What the agent receives at the end of an outage counts at once;
-// after SIGHUP a change counts 4 s later. A change that a silent watch missed counts 6 s after the watch fell silent.
+// agentDeadline returns when a change counts as notified where lists are pushed: as soon as the agent has it, whether
+// or not a watch is open, but not before the process starts. What the agent receives at the end of an outage counts at
+// once; after SIGHUP a change counts 4 s later. A change that a silent watch missed counts 6 s after the watch fell
+// silent.
 func (a *Audit) agentDeadline(p *process, published time.Duration) (at time.Duration, reason string) {
 	at, reason = a.nextReachable(max(published, p.started)), "the agent has it"
 	for _, reloaded := range p.reloads {
@@ -76,8 +77,8 @@
 }
 
 // unwatchedDeadline returns when a change counts as notified to a balancer without a watch. Such a balancer may use its
-// list for AskWithin after its last call, four times as long if that call failed, counted anew from the end of an outage;
-// a change counts that long after discovery had it.
+// list for AskWithin after its last call, four times as long if that call failed, counted anew from the end of an
+// outage; a change counts that long after discovery had it.
 func (a *Audit) unwatchedDeadline(p *process, published time.Duration) time.Duration {
 	lastEnd, lastFailed := time.Duration(0), false // the latest end of the calls so far, and whether that call failed
 	for _, c := range p.calls {
@@ -99,8 +100,8 @@
 	return never
 }
 
-// reloadDeadline returns when a change counts as notified after a SIGHUP that moves discovery: all that discovery had by
-// then counts 4 s later, counted anew from a call to the new discovery that was refused or fell silent.
+// reloadDeadline returns when a change counts as notified after a SIGHUP that moves discovery: all that discovery had
+// by then counts 4 s later, counted anew from a call to the new discovery that was refused or fell silent.
 func (a *Audit) reloadDeadline(p *process, published time.Duration) time.Duration {
 	for _, reloaded := range p.reloads {
 		if published > reloaded {
--- a/internal/lab/drainaudit/process.go
+++ b/internal/lab/drainaudit/process.go
@@ -39,8 +39,8 @@
 
 const never = time.Duration(1<<63 - 1)
 
-// Started records the start of a process whose configuration has the list of a revision. It replaces the earlier process
-// of the same number.
+// Started records the start of a process whose configuration has the list of a revision. It replaces the earlier
+// process of the same number.
 func (a *Audit) Started(number int, at time.Duration, knownRevision int) {
 	a.processes[number] = &process{started: at, knownRevision: knownRevision}
 }
@@ -74,8 +74,8 @@
 // Refused records that discovery has refused the call because it is overloaded, or ended it in an outage.
 func (c *Call) Refused(at time.Duration) { c.result, c.ended = refused, at }
 
-// Failed records that the call has ended without a usable answer: the answer was malformed, or the balancer abandoned the
-// call. It has no effect on a call that has ended already.
+// Failed records that the call has ended without a usable answer: the answer was malformed, or the balancer abandoned
+// the call. It has no effect on a call that has ended already.
 func (c *Call) Failed(at time.Duration) {
 	if c.result == open {
 		c.result, c.ended = failed, at
--- a/internal/lab/drainsearch/attempt.go
+++ b/internal/lab/drainsearch/attempt.go
@@ -8,41 +8,41 @@
 	"tealtiller/policy"
 )
 
-// client is a client and its request.
+// client is a client with one request.
 type client struct {
 	Request
 	owner    slot.ID
-	id       slot.ID // of its request
+	id       slot.ID // of the request
 	attempts int
-	attempt  *attempt // under way
+	attempt  *attempt // in progress; nil if none
 	left     bool
 	done     bool
 }
 
-// attempt is one connection to a host for a request.
+// attempt is one connection to a host on behalf of a request.
 type attempt struct {
-	client *client
-	host   string
-	until  time.Duration
-	sent   bool
-	over   bool
+	client   *client
+	host     string
+	deadline time.Duration
+	sent     bool
+	finished bool
 }
 
 var _ request.Transport = (*balancer)(nil)
 
-// request has a client come.
-func (b *balancer) request(r Request) {
+// startRequest lets a client arrive with a request.
+func (b *balancer) startRequest(r Request) {
 	if !b.running {
 		return
 	}
-	b.owners++
-	c := &client{Request: r, owner: b.owners}
-	b.later(b.world.now, func(now time.Duration) {
+	b.lastOwner++
+	c := &client{Request: r, owner: b.lastOwner}
+	b.schedule(b.world.now, func(now time.Duration) {
 		b.clients[c.owner] = c
 		c.id = b.table.Submit(now, c.owner, policy.Request{Class: r.Class, Key: r.Key, HasKey: true, TTL: r.TTL, MidFlow: r.MidFlow})
 	})
 	if r.Leaves > 0 {
-		b.later(b.world.now+r.Leaves, func(now time.Duration) {
+		b.schedule(b.world.now+r.Leaves, func(now time.Duration) {
 			if c.left = true; !c.done {
 				b.table.ClientLeft(now, c.id)
 			}
@@ -50,103 +50,103 @@
 	}
 }
 
-// Begin dials a host.
-func (b *balancer) Begin(owner slot.ID, host string, until time.Duration) error {
+// Begin connects to a host.
+func (b *balancer) Begin(owner slot.ID, host string, deadline time.Duration) error {
 	c := b.clients[owner]
-	if !b.listed[host] {
+	if !b.knownHosts[host] {
 		return errNoAddress
 	}
-	a := &attempt{client: c, host: host, until: until}
+	a := &attempt{client: c, host: host, deadline: deadline}
 	c.attempt = a
 	number := min(c.attempts, len(c.Connect)-1)
 	c.attempts++
-	takes, limit := c.Connect[number], min(b.world.script.Connect, until-b.world.now)
-	if takes > limit {
-		b.afterAttempt(a, limit, func(time.Duration) { b.ended(a, policy.ConnectFailed) })
+	connectTime, limit := c.Connect[number], min(b.world.script.Connect, deadline-b.world.now)
+	if connectTime > limit {
+		b.scheduleForAttempt(a, limit, func(time.Duration) { b.attemptEnded(a, policy.ConnectFailed) })
 		return nil
 	}
-	b.afterAttempt(a, takes, func(now time.Duration) { b.connected(now, a, c.Answers[number]) })
+	b.scheduleForAttempt(a, connectTime, func(now time.Duration) { b.connected(now, a, c.Answers[number]) })
 	return nil
 }
 
-// afterAttempt has the process hear of an attempt after a time, if that is not over by then.
-func (b *balancer) afterAttempt(a *attempt, after time.Duration, event func(now time.Duration)) {
-	b.later(b.effect+after, func(now time.Duration) {
-		if !a.over {
+// scheduleForAttempt schedules an event of an attempt, which is dropped if the attempt has ended by then.
+func (b *balancer) scheduleForAttempt(a *attempt, after time.Duration, event func(now time.Duration)) {
+	b.schedule(b.writeTime+after, func(now time.Duration) {
+		if !a.finished {
 			event(now)
 		}
 	})
 }
 
-// connected writes the first line, if the gate lets it.
+// connected writes the first line, unless the last check before the write forbids it.
 func (b *balancer) connected(now time.Duration, a *attempt, answer Answer) {
-	result, ok := b.table.MayWrite(now, a.client.id, a.until, func() bool { return a.client.left })
+	result, ok := b.table.MayWrite(now, a.client.id, a.deadline, func() bool { return a.client.left })
 	if !ok && !b.world.options.NoGate {
-		b.ended(a, result)
+		b.attemptEnded(a, result)
 		return
 	}
 	a.sent = true
 	b.sent++
 	b.world.explain("balancer %d sends to %s, written at %.3f (mid-flow: %v)",
-		b.number, a.host, (b.effect - start).Seconds(), a.client.MidFlow)
-	if broken := b.world.audit.FirstByteSent(b.number, a.host, b.effect); broken != nil && b.world.broken == nil {
-		b.world.broken, b.world.stopped = broken, true
-		b.world.explain("BROKEN: %v", broken)
+		b.number, a.host, (b.writeTime - start).Seconds(), a.client.MidFlow)
+	if violation := b.world.audit.FirstByteSent(b.number, a.host, b.writeTime); violation != nil && b.world.violation == nil {
+		b.world.violation, b.world.stopped = violation, true
+		b.world.explain("BROKEN: %v", violation)
 	}
 	switch answer {
 	case Up:
-		b.afterAttempt(a, 2*ms, func(now time.Duration) { b.stands(now, a) })
+		b.scheduleForAttempt(a, 2*ms, func(now time.Duration) { b.established(now, a) })
 	case Errs:
-		b.afterAttempt(a, 2*ms, func(time.Duration) { b.ended(a, policy.Error) })
+		b.scheduleForAttempt(a, 2*ms, func(time.Duration) { b.attemptEnded(a, policy.Error) })
 	case Busy:
-		b.afterAttempt(a, 2*ms, func(time.Duration) { b.ended(a, policy.Rejected) })
+		b.scheduleForAttempt(a, 2*ms, func(time.Duration) { b.attemptEnded(a, policy.Rejected) })
 	case Resets:
-		b.afterAttempt(a, 2*ms, func(time.Duration) { b.ended(a, policy.Reset) })
+		b.scheduleForAttempt(a, 2*ms, func(time.Duration) { b.attemptEnded(a, policy.Reset) })
 	}
 }
 
-// lifetime is how long a connection stands.
-const lifetime = 2 * time.Second
+// connectionLifetime is how long an established connection lasts.
+const connectionLifetime = 2 * time.Second
 
-func (b *balancer) stands(now time.Duration, a *attempt) {
+func (b *balancer) established(now time.Duration, a *attempt) {
 	a.client.done = true
 	b.table.Established(now, a.client.id)
-	b.afterAttempt(a, lifetime, func(time.Duration) { b.ended(a, policy.OK) })
+	b.scheduleForAttempt(a, connectionLifetime, func(time.Duration) { b.attemptEnded(a, policy.OK) })
 }
 
-func (b *balancer) ended(a *attempt, result policy.Result) {
-	a.over = true
+func (b *balancer) attemptEnded(a *attempt, result policy.Result) {
+	a.finished = true
 	a.client.attempt = nil
 	b.table.AttemptEnded(b.world.now, a.client.id, result)
 }
 
-// Abandon ends the attempt that is out.
+// Abandon ends the attempt in progress and reports whether its first line was sent.
 func (b *balancer) Abandon(owner slot.ID) (sent bool) {
 	a := b.clients[owner].attempt
 	if a == nil {
 		return false
 	}
-	a.over = true
+	a.finished = true
 	b.clients[owner].attempt = nil
 	return a.sent
 }
 
-// Busy is a final answer.
+// Busy is called with the final answer of a request.
 func (b *balancer) Busy(owner slot.ID, _ time.Duration, _ policy.Reason) {
 	b.clients[owner].done = true
 }
 
-// Failed is a final answer.
+// Failed is called with the final answer of a request.
 func (b *balancer) Failed(owner slot.ID) { b.clients[owner].done = true }
 
-// Move ends a standing connection.
+// Move ends an established connection.
 func (b *balancer) Move(owner slot.ID) { b.Abandon(owner) }
 
-// Probe does nothing: probes are no requests.
+// Probe does nothing, since probes are not requests.
 func (b *balancer) Probe(string) {}
 
 // Watch turns the watch on or off.
 func (b *balancer) Watch(on bool) { b.watcher.Watch(b.world.now, on) }
 
-// Log does nothing.
+// Log discards the line.
 func (b *balancer) Log(string) {}
--- a/internal/lab/drainsearch/balancer.go
+++ b/internal/lab/drainsearch/balancer.go
@@ -13,37 +13,38 @@
 	"tealtiller/policy"
 )
 
-// balancer is one balancer of the fleet, and the process of it that runs. It is what internal/net is to the real one.
+// balancer is one balancer of the fleet with its current process. It stands in for package internal/net: it connects
+// the balancer's own code to the simulated network and clock.
 type balancer struct {
-	world     *world
-	number    int
-	process   int
-	running   bool
-	heard     bool // an answer that can be read was written to this process
-	told      int  // the revision of the last such answer
-	deadlines deadline.Queue
-	watcher   *discovery.Watcher
-	table     *request.Table
-	links     map[int]*link   // to discovery, in use
-	listed    map[string]bool // hosts whose address is known
-	clients   map[slot.ID]*client
-	owners    slot.ID
-	hold      time.Duration // of the next event
-	busyUntil time.Duration
-	effect    time.Duration // when what the event under way writes is written
-	timerAt   time.Duration
-	sent      int
+	world            *world
+	number           int
+	process          int
+	running          bool
+	answered         bool // a readable answer of discovery was written to this process
+	answeredRevision int  // the revision of the last such answer
+	deadlines        deadline.Queue
+	watcher          *discovery.Watcher
+	table            *request.Table
+	links            map[int]*link   // connections to discovery in use
+	knownHosts       map[string]bool // hosts whose address is known
+	clients          map[slot.ID]*client
+	lastOwner        slot.ID
+	nextHold         time.Duration // pause to apply to the next event
+	busyUntil        time.Duration
+	writeTime        time.Duration // when the output of the current event is written
+	timerAt          time.Duration
+	sent             int
 }
 
-// begin starts a process with a list that is old.
-func (b *balancer) begin(startup, knownAge time.Duration) {
+// startProcess starts a process whose configuration has a list of the given age.
+func (b *balancer) startProcess(startup, knownAge time.Duration) {
 	w := b.world
 	b.kill()
 	revision := w.service.revisionAt(w.now - knownAge)
 	w.audit.Started(b.number, w.now, revision)
 	w.explain("balancer %d starts with revision %d", b.number, revision)
 	b.process++
-	b.running, b.heard, b.told, b.links = false, false, 0, map[int]*link{}
+	b.running, b.answered, b.answeredRevision, b.links = false, false, 0, map[int]*link{}
 	known, err := discovery.Parse([]byte(w.service.history.FullList(revision)))
 	if err != nil {
 		panic(err)
@@ -56,19 +57,19 @@
 	})
 }
 
-// boot is the first turn of a process.
+// boot runs the first event of a process.
 func (b *balancer) boot(known *discovery.List) {
 	b.running = true
 	b.deadlines, b.timerAt, b.busyUntil = deadline.Queue{}, 0, 0
-	b.listed, b.clients = map[string]bool{}, map[slot.ID]*client{}
-	set := b.settings()
+	b.knownHosts, b.clients = map[string]bool{}, map[slot.ID]*client{}
+	settings := b.settings()
 	b.watcher = discovery.NewWatcher("discovery", b, observer{b}, &b.deadlines)
-	b.watcher.Configure(!set.MustWatch, set.DrainGrace)
-	b.do(func(now time.Duration) {
+	b.watcher.Configure(!settings.MustWatch, settings.DrainGrace)
+	b.runEvent(func(now time.Duration) {
 		seed := b.world.script.Seed + uint64(b.number)<<32 + uint64(b.process)<<48
-		b.table = request.New(func(h policy.Host) request.Module { return cells.New(set, seed, h, nil) }, b, &b.deadlines, counters.Set{})
-		b.members(now, policy.Cached, known)
-		b.table.SetLease(now, now) // as the real one does
+		b.table = request.New(func(h policy.Host) request.Module { return cells.New(settings, seed, h, nil) }, b, &b.deadlines, counters.Set{})
+		b.updateMembers(now, policy.Cached, known)
+		b.table.SetLease(now, now) // as the real balancer does
 		if b.watcher.Pushed {
 			b.watcher.Watch(now, true)
 		}
@@ -89,7 +90,7 @@
 		DrainGrace: grace, ColdCapacityShare: 0.15, WarmAfter: 22 * time.Second, OverloadFactor: 3, OverloadSpan: time.Second}
 }
 
-// kill ends the process without a word.
+// kill ends the process without any cleanup.
 func (b *balancer) kill() {
 	b.world.explain("balancer %d is killed", b.number)
 	for _, l := range b.links {
@@ -99,65 +100,68 @@
 	b.running, b.links = false, map[int]*link{}
 }
 
-// do runs an event and what has fallen due. A held process reads its clock, and acts later.
-func (b *balancer) do(event func(now time.Duration)) {
+// runEvent runs an event and the deadlines that have expired. A held process reads its clock first and acts after the
+// hold.
+func (b *balancer) runEvent(event func(now time.Duration)) {
 	now := b.world.now
-	b.effect = now + b.hold
-	b.busyUntil, b.hold = b.effect, 0
+	b.writeTime = now + b.nextHold
+	b.busyUntil, b.nextHold = b.writeTime, 0
 	event(now)
 	b.deadlines.Run(now)
 	b.rearm()
 }
 
-// later runs an event of this process at a moment, or once the process is no longer held.
-func (b *balancer) later(at time.Duration, event func(now time.Duration)) {
+// schedule runs an event of this process at a time, or once the process is no longer held. It is dropped if the process
+// has ended by then.
+func (b *balancer) schedule(at time.Duration, event func(now time.Duration)) {
 	process := b.process
 	b.world.at(at, func() {
 		switch {
 		case b.process != process || !b.running:
 		case b.world.now < b.busyUntil:
-			b.later(b.busyUntil, event)
+			b.schedule(b.busyUntil, event)
 		default:
-			b.do(event)
+			b.runEvent(event)
 		}
 	})
 }
 
-// rearm has the process woken at its earliest deadline.
+// rearm schedules a wake-up at the earliest deadline.
 func (b *balancer) rearm() {
 	at, ok := b.deadlines.Next()
 	if !ok || at == b.timerAt {
 		return
 	}
 	b.timerAt = at
-	b.later(at, func(time.Duration) { b.timerAt = 0 })
+	b.schedule(at, func(time.Duration) { b.timerAt = 0 })
 }
 
-// hear has the process hear of a connection to discovery after a time, if that is still the one in use.
-func (b *balancer) hear(l *link, after time.Duration, event func(b *balancer, now time.Duration)) {
+// scheduleForLink schedules an event of a connection to discovery, which is dropped if the connection is no longer in
+// use by then.
+func (b *balancer) scheduleForLink(l *link, after time.Duration, event func(b *balancer, now time.Duration)) {
 	if l.process != b.process {
 		return
 	}
-	b.later(b.world.now+after, func(now time.Duration) {
-		if b.uses(l) {
+	b.schedule(b.world.now+after, func(now time.Duration) {
+		if b.inUse(l) {
 			event(b, now)
 		}
 	})
 }
 
-// reload is a SIGHUP.
-func (b *balancer) reload(moves bool) {
+// reload delivers a SIGHUP.
+func (b *balancer) reload(discoveryMoves bool) {
 	if !b.running {
 		return
 	}
-	b.world.explain("balancer %d gets SIGHUP, discovery moves: %v", b.number, moves)
-	if moves {
+	b.world.explain("balancer %d receives SIGHUP, discovery moves: %v", b.number, discoveryMoves)
+	if discoveryMoves {
 		b.world.audit.Reloaded(b.number, b.world.now)
 	}
-	b.later(b.world.now, func(now time.Duration) {
+	b.schedule(b.world.now, func(now time.Duration) {
 		b.table.Reconfigure(b.settings())
-		if moves {
-			b.heard = false
+		if discoveryMoves {
+			b.answered = false
 			b.watcher.MoveTo(now, "elsewhere")
 		}
 	})
--- a/internal/lab/drainsearch/clock.go
+++ b/internal/lab/drainsearch/clock.go
@@ -6,19 +6,19 @@
 	"tealtiller/internal/deadline"
 )
 
-// clock is the virtual time of a run and what is due in it.
+// clock is the virtual time of a run with the events that are due.
 type clock struct {
 	now     time.Duration
 	queue   deadline.Queue
 	stopped bool
 }
 
-// at has something done at a moment, at the earliest now.
-func (c *clock) at(when time.Duration, do func()) {
-	c.queue.Set(max(when, c.now), func(time.Duration) { do() })
+// at runs an action at a time, at the earliest now.
+func (c *clock) at(when time.Duration, action func()) {
+	c.queue.Set(max(when, c.now), func(time.Duration) { action() })
 }
 
-// run does all that is due until a moment.
+// run runs all actions that are due by a time.
 func (c *clock) run(last time.Duration) {
 	for {
 		next, ok := c.queue.Next()
--- a/internal/lab/drainsearch/script.go
+++ b/internal/lab/drainsearch/script.go
@@ -1,6 +1,6 @@
-// Package drainsearch looks for sequences of events after which a balancer sends a new request to a host that drains or is
-// gone. It plays the balancer's own decision code, request table, list watcher and last gate in virtual time against a
-// stand-in discovery and hosts, and has every first byte judged by package drainaudit.
+// Package drainsearch searches for sequences of events after which a balancer sends a new request to a host that drains
+// or is gone. It runs the balancer's own decision code, request table, list watcher and last check before a write in
+// virtual time against a simulated discovery and hosts, and has package drainaudit judge every first byte.
 package drainsearch
 
 import (
@@ -9,19 +9,19 @@
 	"tealtiller/internal/lab/drainaudit"
 )
 
-// Script is one sequence of events: all that chance decides about a run.
+// Script is one sequence of events: everything about a run that is drawn at random.
 type Script struct {
-	Seed      uint64 // of the balancers' own random numbers
+	Seed      uint64 // seed of the balancers' own random numbers
 	Length    time.Duration
 	Pushed    bool
 	Balancers int
 	Hosts     int
 	Grace     time.Duration
-	Aim       time.Duration // of all classes: how soon a set-up is wanted
+	Aim       time.Duration // set-up target of all classes
 	AskWithin time.Duration
-	Connect   time.Duration // how long a connection to a host may take to come up
-	Latency   time.Duration // of discovery, each way
-	KnownAge  time.Duration // how old the list in the configuration is
+	Connect   time.Duration // connect timeout for hosts
+	Latency   time.Duration // one-way latency to discovery
+	KnownAge  time.Duration // age of the list in the configuration
 	Changes   []Change
 	Faults    []Fault
 	Reloads   []Reload
@@ -30,36 +30,36 @@
 	Requests  []Request
 }
 
-// Change is one change of the host list, at the moment in which discovery has it.
+// Change is one change of the host list, at the time at which discovery has it.
 type Change struct {
 	At    time.Duration
 	Host  int
 	Phase drainaudit.Phase
-	Moves bool // it comes back at another address, as another process
+	Moves bool // the host returns at another address, as another process
 }
 
-// FaultKind is a kind of trouble on the way to discovery.
+// FaultKind is a kind of fault between discovery and a balancer.
 type FaultKind int
 
-// The kinds of trouble.
+// The kinds of faults.
 const (
-	Outage    FaultKind = iota // discovery is down: connections are refused and watches end; an agent is silent
-	Hung                       // discovery takes connections and calls, and leaves them without a word
-	Silent                     // calls that are open at the start get no answer any more
-	Reset                      // connections that are open at the start are reset
-	Refusing                   // calls are turned down after Delay
-	Slow                       // answers come Delay late
-	Vanished                   // connections that are made do not come up
-	Truncated                  // answers break off in their midst
-	Garbled                    // answers make no sense
-	Duplicate                  // answers name a host twice, in service last
-	Stale                      // answers are whole lists of an older revision
-	Whole                      // a watch is answered with the whole list
-	Closing                    // the connection ends after each answer
-	faultKinds
+	Outage           FaultKind = iota // discovery is down: connections are refused and watches end; an agent is silent
+	Hung                              // discovery accepts connections and calls, and never answers
+	Silent                            // calls that are open at the start receive no answer
+	Reset                             // connections that are open at the start are reset
+	Refusing                          // calls are refused after Delay
+	Slow                              // answers are late by Delay
+	Blackhole                         // connections that are opened do not come up
+	Truncated                         // answers break off halfway
+	Garbled                           // answers are malformed
+	DuplicateHost                     // answers list a host twice, the second time in service
+	StaleList                         // answers are complete lists of an older revision
+	FullList                          // a watch is answered with the complete list
+	CloseAfterAnswer                  // the connection ends after each answer
+	faultKindCount
 )
 
-// Fault is trouble between discovery and one balancer, or all.
+// Fault is a fault between discovery and one balancer, or all of them.
 type Fault struct {
 	Kind     FaultKind
 	Balancer int // -1 for all
@@ -71,26 +71,26 @@
 type Reload struct {
 	At       time.Duration
 	Balancer int
-	Moves    bool // discovery is elsewhere
+	Moves    bool // to another discovery
 }
 
-// Restart ends a process and starts another, with a list that is old.
+// Restart kills a process and starts another one, whose configuration has an old list.
 type Restart struct {
 	At       time.Duration
 	Balancer int
 	Down     time.Duration
-	Startup  time.Duration // from the process's first moment until it serves
+	Startup  time.Duration // from the start of the process until it serves
 	KnownAge time.Duration
 }
 
-// Hold is a pause of a balancer between reading its clock and what it does then.
+// Hold delays a balancer between reading its clock and acting on it.
 type Hold struct {
 	At       time.Duration
 	Balancer int
 	For      time.Duration
 }
 
-// Answer is what a host says to an attempt.
+// Answer is how a host answers an attempt.
 type Answer int
 
 // The answers.
@@ -100,7 +100,7 @@
 	Busy
 	Resets
 	Nothing
-	answers
+	answerCount
 )
 
 // Request is one client's request.
@@ -110,8 +110,8 @@
 	Key      uint64
 	MidFlow  bool
 	TTL      time.Duration
-	Leaves   time.Duration // after its coming; 0: it stays
+	Leaves   time.Duration // time from the arrival of the client until it leaves; 0 if it stays
 	Class    string
-	Connect  []time.Duration // what the connections of its attempts take, in turn
-	Answers  []Answer        // what hosts say to them, in turn
+	Connect  []time.Duration // connect time of each attempt in turn
+	Answers  []Answer        // answer to each attempt in turn
 }
--- a/internal/lab/drainsearch/search.go
+++ b/internal/lab/drainsearch/search.go
@@ -9,46 +9,46 @@
 	"tealtiller/internal/lab/drainaudit"
 )
 
-// Found is a script that breaks the rule.
-type Found struct {
+// FailingScript is a script that breaks the rule under any reading of the pages.
+type FailingScript struct {
 	Seed   uint64
 	Script *Script
 	Break  *drainaudit.Violation
 }
 
-// Tally is what a search has played.
-type Tally struct {
+// Result is the outcome of a search.
+type Result struct {
 	Sequences int
 	Sent      int // first bytes judged
-	Found     []Found
-	Excused   map[string]int // sequences with a break that a reading milder than the pages would excuse, by its name
+	Found     []FailingScript
+	Excused   map[string]int // by lenient reading: sequences with a violation that this reading would allow
 }
 
-// Broken is how many sequences broke the rule, by whatever reading.
-func (t *Tally) Broken() (n int) {
+// Broken returns how many sequences broke the rule, those included that a lenient reading would allow.
+func (t *Result) Broken() (n int) {
 	n = len(t.Found)
-	for _, some := range t.Excused {
-		n += some
+	for _, count := range t.Excused {
+		n += count
 	}
 	return n
 }
 
-// mostFound is how many scripts that break the rule by any reading a search keeps; it ends with the last.
-const mostFound = 20
+// maxFound is how many failing scripts a search collects before it ends.
+const maxFound = 20
 
-// Search plays the sequences of so many seeds from a first one on, in so many goroutines, until a moment of real time;
-// a zero one is no bound.
-func Search(first uint64, sequences, workers int, until time.Time, options Options) Tally {
+// Search plays the sequences of consecutive seeds on several goroutines until a point in real time; a zero time sets no
+// limit.
+func Search(first uint64, sequences, workers int, until time.Time, options Options) Result {
 	var next, sent, played atomic.Int64
 	var mu sync.Mutex
-	var found []Found
+	var found []FailingScript
 	excused := map[string]int{}
 	enough := func() bool {
 		mu.Lock()
 		defer mu.Unlock()
-		return len(found) >= mostFound
+		return len(found) >= maxFound
 	}
-	work := func() {
+	worker := func() {
 		for !enough() && (until.IsZero() || time.Now().Before(until)) {
 			n := next.Add(1) - 1
 			if n >= int64(sequences) {
@@ -56,37 +56,37 @@
 			}
 			seed := first + uint64(n)
 			script := Draw(seed)
-			broken, judged := Play(script, options)
+			violation, judged := Play(script, options)
 			played.Add(1)
 			sent.Add(int64(judged))
-			if broken == nil {
+			if violation == nil {
 				continue
 			}
 			mu.Lock()
-			if mild := broken.Excuse(); mild != "" {
-				excused[mild]++
+			if excuse := violation.Excuse(); excuse != "" {
+				excused[excuse]++
 			} else {
-				found = append(found, Found{seed, script, broken})
+				found = append(found, FailingScript{seed, script, violation})
 			}
 			mu.Unlock()
 		}
 	}
 	var group sync.WaitGroup
 	for range workers {
-		group.Go(work)
+		group.Go(worker)
 	}
 	group.Wait()
-	slices.SortFunc(found, func(a, b Found) int { return int(a.Seed) - int(b.Seed) })
-	return Tally{Sequences: int(played.Load()), Sent: int(sent.Load()), Found: found, Excused: excused}
+	slices.SortFunc(found, func(a, b FailingScript) int { return int(a.Seed) - int(b.Seed) })
+	return Result{Sequences: int(played.Load()), Sent: int(sent.Load()), Found: found, Excused: excused}
 }
 
-// Shrink leaves out of a script what the break does not need, one part after the other, as long as it still breaks.
+// Shrink removes events from a script, one part after the other, as long as the rest still breaks the rule.
 func Shrink(s *Script, options Options) *Script {
-	for smaller := true; smaller; {
-		smaller = false
-		for _, without := range parts(s) {
-			if broken, _ := Play(without, options); broken != nil {
-				s, smaller = without, true
+	for reduced := true; reduced; {
+		reduced = false
+		for _, candidate := range reductions(s) {
+			if violation, _ := Play(candidate, options); violation != nil {
+				s, reduced = candidate, true
 				break
 			}
 		}
@@ -94,36 +94,36 @@
 	return s
 }
 
-// parts is a script without a half, or one, of the events of each kind.
-func parts(s *Script) (out []*Script) {
-	add := func(with func(*Script)) {
+// reductions returns copies of a script, each without a half or a single one of the events of one kind.
+func reductions(s *Script) (out []*Script) {
+	add := func(remove func(*Script)) {
 		c := *s
-		with(&c)
+		remove(&c)
 		out = append(out, &c)
 	}
-	for _, r := range cuts(len(s.Requests)) {
-		add(func(c *Script) { c.Requests = cut(s.Requests, r) })
+	for _, r := range rangesToRemove(len(s.Requests)) {
+		add(func(c *Script) { c.Requests = withoutRange(s.Requests, r) })
 	}
-	for _, r := range cuts(len(s.Holds)) {
-		add(func(c *Script) { c.Holds = cut(s.Holds, r) })
+	for _, r := range rangesToRemove(len(s.Holds)) {
+		add(func(c *Script) { c.Holds = withoutRange(s.Holds, r) })
 	}
-	for _, r := range cuts(len(s.Faults)) {
-		add(func(c *Script) { c.Faults = cut(s.Faults, r) })
+	for _, r := range rangesToRemove(len(s.Faults)) {
+		add(func(c *Script) { c.Faults = withoutRange(s.Faults, r) })
 	}
-	for _, r := range cuts(len(s.Restarts)) {
-		add(func(c *Script) { c.Restarts = cut(s.Restarts, r) })
+	for _, r := range rangesToRemove(len(s.Restarts)) {
+		add(func(c *Script) { c.Restarts = withoutRange(s.Restarts, r) })
 	}
-	for _, r := range cuts(len(s.Reloads)) {
-		add(func(c *Script) { c.Reloads = cut(s.Reloads, r) })
+	for _, r := range rangesToRemove(len(s.Reloads)) {
+		add(func(c *Script) { c.Reloads = withoutRange(s.Reloads, r) })
 	}
-	for _, r := range cuts(len(s.Changes)) {
-		add(func(c *Script) { c.Changes = cut(s.Changes, r) })
+	for _, r := range rangesToRemove(len(s.Changes)) {
+		add(func(c *Script) { c.Changes = withoutRange(s.Changes, r) })
 	}
 	return out
 }
 
-// cuts is the ranges to leave out: halves first, then single ones.
-func cuts(n int) (out [][2]int) {
+// rangesToRemove returns the ranges to leave out of n events: the halves first, then single events.
+func rangesToRemove(n int) (out [][2]int) {
 	if n > 3 {
 		out = append(out, [2]int{0, n / 2}, [2]int{n / 2, n})
 	}
@@ -133,4 +133,4 @@
 	return out
 }
 
-func cut[T any](all []T, r [2]int) []T { return slices.Delete(slices.Clone(all), r[0], r[1]) }
+func withoutRange[T any](all []T, r [2]int) []T { return slices.Delete(slices.Clone(all), r[0], r[1]) }
--- a/internal/lab/drainsearch/service.go
+++ b/internal/lab/drainsearch/service.go
@@ -10,7 +10,7 @@
 	"tealtiller/internal/lab/hostlist"
 )
 
-// service is discovery, or the agents of all balancers, after the protocol page.
+// service simulates discovery, or the agents of all balancers, by the protocol page.
 type service struct {
 	world   *world
 	hosts   []hostlist.Host
@@ -30,25 +30,25 @@
 		if f.Kind == Outage {
 			w.audit.Outage(start+f.From, start+f.To)
 		}
-		w.at(start+f.From, func() { s.strikes(f) })
+		w.at(start+f.From, func() { s.applyFault(f) })
 	}
 	for _, c := range w.script.Changes {
 		if start+c.At <= w.now {
-			s.change(c)
+			s.applyChange(c)
 			continue
 		}
-		w.at(start+c.At, func() { s.learn(c) })
+		w.at(start+c.At, func() { s.publish(c) })
 	}
 	return s
 }
 
-// learn has a change known. An agent learns nothing in an outage, and all at its end.
-func (s *service) learn(c Change) {
-	if until, down := s.downUntil(); s.world.script.Pushed && down {
-		s.world.at(until, func() { s.learn(c) })
+// publish adds a change to the list. In an outage an agent receives nothing; it receives all changes at the end of it.
+func (s *service) publish(c Change) {
+	if until, down := s.outageEnd(); s.world.script.Pushed && down {
+		s.world.at(until, func() { s.publish(c) })
 		return
 	}
-	s.change(c)
+	s.applyChange(c)
 	for _, b := range s.world.balancers {
 		for _, number := range slices.Sorted(maps.Keys(b.links)) {
 			l := b.links[number]
@@ -59,7 +59,7 @@
 	}
 }
 
-func (s *service) change(c Change) {
+func (s *service) applyChange(c Change) {
 	h := &s.hosts[c.Host]
 	h.Phase = c.Phase
 	if c.Phase == drainaudit.InService {
@@ -78,12 +78,16 @@
 	s.world.explain("discovery has revision %d: %s %s", revision, h.ID, hostlist.PhaseNames[c.Phase])
 }
 
-// The ports of hosts: the first one's, and how far one that comes back elsewhere moves.
-const firstPort, portStep = 1000, 100
+// firstPort is the port of the first host; portStep is by how much the port of a host changes when the host returns at
+// another address.
+const (
+	firstPort = 1000
+	portStep  = 100
+)
 
 func address(port int) string { return fmt.Sprintf("127.0.0.1:%d", port) }
 
-// revisionAt is the revision that discovery had at a moment.
+// revisionAt returns the revision that discovery had at a time.
 func (s *service) revisionAt(at time.Duration) int {
 	n := 0
 	for _, c := range s.world.script.Changes {
--- a/internal/lab/drainsearch/watch.go
+++ b/internal/lab/drainsearch/watch.go
@@ -7,12 +7,12 @@
 	"tealtiller/policy"
 )
 
-// Dial makes a connection to discovery.
+// Dial opens a connection to discovery.
 func (b *balancer) Dial(_ time.Duration, connection int, _ string, limit time.Duration) {
 	l := &link{balancer: b, process: b.process, number: connection}
 	b.links[connection] = l
-	b.afterEffect(0, func() {
-		if b.uses(l) {
+	b.scheduleExternal(0, func() {
+		if b.inUse(l) {
 			b.world.service.connect(l, limit)
 		}
 	})
@@ -21,70 +21,70 @@
 // Send writes a call.
 func (b *balancer) Send(connection int, request []byte) {
 	l, text := b.links[connection], string(request)
-	b.afterEffect(b.world.options.LateCalls+b.world.script.Latency, func() {
-		if b.uses(l) && !l.closed {
+	b.scheduleExternal(b.world.options.LateCalls+b.world.script.Latency, func() {
+		if b.inUse(l) && !l.closed {
 			b.world.service.receive(l, text)
 		}
 	})
 }
 
-// afterEffect does what the event under way sets off outside, once the process is past a hold.
-func (b *balancer) afterEffect(after time.Duration, do func()) {
+// scheduleExternal runs the outside effect of the current event, once the process is past a hold.
+func (b *balancer) scheduleExternal(after time.Duration, action func()) {
 	process := b.process
-	b.world.at(b.effect+after, func() {
+	b.world.at(b.writeTime+after, func() {
 		if b.process == process {
-			do()
+			action()
 		}
 	})
 }
 
-// Drop leaves a connection.
+// Drop closes a connection.
 func (b *balancer) Drop(connection int) {
 	l := b.links[connection]
 	if c := b.world.service.calls[l]; c != nil {
-		c.seen.Failed(b.world.now)
+		c.audited.Failed(b.world.now)
 	}
 	delete(b.world.service.calls, l)
 	delete(b.links, connection)
 }
 
-// uses tells whether a connection is one of those in use.
-func (b *balancer) uses(l *link) bool { return b.links[l.number] == l }
+// inUse reports whether a connection is in use.
+func (b *balancer) inUse(l *link) bool { return b.links[l.number] == l }
 
-// observer hears of the calls of a balancer.
+// observer receives the events of the list watcher.
 type observer struct{ *balancer }
 
-// CallStarted does nothing; the service tells the audit of calls.
+// CallStarted does nothing; the service reports calls to the audit.
 func (o observer) CallStarted(discovery.CallStart) {}
 
 // CallResent does nothing.
 func (o observer) CallResent() {}
 
-// CallFailed tells who looks at a script.
+// CallFailed adds the failure to the explanation of the run.
 func (o observer) CallFailed(_ time.Duration, f discovery.CallFailure) {
 	o.world.explain("balancer %d: %v", o.number, f.Err)
 }
 
-// WatchStopped tells the module.
+// WatchStopped reports the failed watch to the request table.
 func (o observer) WatchStopped(now time.Duration) {
 	o.table.UpdateMembers(now, policy.WatchFailed, nil)
 }
 
-// LeaseChanged tells the module.
+// LeaseChanged passes the lease to the request table.
 func (o observer) LeaseChanged(now, until time.Duration) { o.table.SetLease(now, until) }
 
-// ListReceived hands a list on.
+// ListReceived passes a list to the request table.
 func (o observer) ListReceived(now time.Duration, list *discovery.List) {
 	kind := policy.Delta
 	if list.Complete {
 		kind = policy.Full
 	}
-	o.members(now, kind, list)
+	o.updateMembers(now, kind, list)
 }
 
-func (b *balancer) members(now time.Duration, kind policy.MembersKind, list *discovery.List) {
+func (b *balancer) updateMembers(now time.Duration, kind policy.MembersKind, list *discovery.List) {
 	for _, m := range list.Members {
-		b.listed[m.ID] = true
+		b.knownHosts[m.ID] = true
 	}
 	b.table.UpdateMembers(now, kind, list.Servers())
 }
--- a/internal/lab/hostlist/hostlist.go
+++ b/internal/lab/hostlist/hostlist.go
@@ -1,5 +1,5 @@
-// Package hostlist encodes the host list for the lab's discovery stand-ins: the initial hosts and a history of changes, each
-// of which makes a new revision.
+// Package hostlist encodes the host list for the lab's discovery stand-ins: the initial hosts and a history of changes,
+// each of which makes a new revision.
 package hostlist
 
 import (
--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -14,8 +14,8 @@
 	"tealtiller/internal/lab/hostlist"
 )
 
-// parse reads a call.
-func parse(request *http.Request) (since int, wait time.Duration) {
+// parseCall reads a call.
+func parseCall(request *http.Request) (since int, wait time.Duration) {
 	query := request.URL.Query()
 	revision, err := strconv.Atoi(query.Get("since"))
 	if err != nil {
@@ -29,119 +29,119 @@
 type outcome int
 
 const (
-	answers outcome = iota
-	refuses
-	ends    // its connection is reset
-	givenUp // the balancer ended it, or the run is over
+	outcomeAnswer outcome = iota
+	outcomeRefuse
+	outcomeReset     // its connection is reset
+	outcomeAbandoned // the balancer ended it, or the run is over
 )
 
-// await holds a call until discovery answers it.
-func (e *endpoint) await(d *discoveryConn, began time.Duration, since int, wait time.Duration, gone <-chan struct{}) outcome {
+// awaitAnswer holds a call until discovery answers it.
+func (e *endpoint) awaitAnswer(d *discoveryConn, began time.Duration, since int, wait time.Duration, disconnected <-chan struct{}) outcome {
 	w, n := e.node.world, e.node
-	if w.fault(drainsearch.Hung, n.number) != nil || w.fault(drainsearch.Vanished, n.number) != nil ||
+	if w.fault(drainsearch.Hung, n.number) != nil || w.fault(drainsearch.Blackhole, n.number) != nil ||
 		w.script.Pushed && w.fault(drainsearch.Outage, n.number) != nil {
 		d.silence(began)
-		return d.until(never, gone, answers)
+		return d.holdFor(never, disconnected, outcomeAnswer)
 	}
 	if f := w.fault(drainsearch.Refusing, n.number); f != nil {
-		return d.until(f.Delay, gone, refuses)
+		return d.holdFor(f.Delay, disconnected, outcomeRefuse)
 	}
 	if f := w.fault(drainsearch.Slow, n.number); f != nil {
-		return d.until(f.Delay, gone, answers)
+		return d.holdFor(f.Delay, disconnected, outcomeAnswer)
 	}
 	limit := time.After(wait)
 	for {
 		w.mu.Lock()
-		revision, news := w.list.LatestRevision(), w.news
+		revision, listChanged := w.list.LatestRevision(), w.listChanged
 		w.mu.Unlock()
 		if since < 0 || since < revision { // news from before a silence is written
-			return answers
+			return outcomeAnswer
 		}
 		select {
 		case <-d.silent:
-			return d.until(never, gone, answers)
+			return d.holdFor(never, disconnected, outcomeAnswer)
 		default:
 		}
 		select {
-		case <-news:
+		case <-listChanged:
 		case <-limit:
-			return d.until(0, gone, answers)
+			return d.holdFor(0, disconnected, outcomeAnswer)
 		case <-d.silent:
-		case <-gone:
-			return d.closed()
+		case <-disconnected:
+			return d.closeOutcome()
 		case <-w.ctx.Done():
-			return givenUp
+			return outcomeAbandoned
 		}
 	}
 }
 
-// until holds a call for a time and then does what is told, unless its connection falls silent or ends before.
-func (d *discoveryConn) until(after time.Duration, gone <-chan struct{}, then outcome) outcome {
+// holdFor holds a call for a time and then does what is told, unless its connection falls silent or ends before.
+func (d *discoveryConn) holdFor(after time.Duration, disconnected <-chan struct{}, then outcome) outcome {
 	select {
 	case <-time.After(after):
 		select {
 		case <-d.silent: // for good
-			return d.until(never, gone, then)
+			return d.holdFor(never, disconnected, then)
 		default:
 			return then
 		}
-	case <-gone:
-		return d.closed()
+	case <-disconnected:
+		return d.closeOutcome()
 	case <-d.endpoint.node.world.ctx.Done():
-		return givenUp
+		return outcomeAbandoned
 	}
 }
 
-// closed tells which side ended a connection.
-func (d *discoveryConn) closed() outcome {
+// closeOutcome tells which side ended a connection.
+func (d *discoveryConn) closeOutcome() outcome {
 	if _, err := d.Write(nil); errors.Is(err, net.ErrClosed) {
-		return ends // by us
+		return outcomeReset // by us
 	}
-	return givenUp
+	return outcomeAbandoned
 }
 
-// write answers a call with what is new, or with what trouble makes of it; the lock of the run is held.
-func (e *endpoint) write(d *discoveryConn, call *drainaudit.Call, since int) bool {
+// writeAnswer answers a call with what is new, or with what trouble makes of it; the lock of the run is held.
+func (e *endpoint) writeAnswer(d *discoveryConn, call *drainaudit.Call, since int) bool {
 	w, n := e.node.world, e.node
-	body, revision, good := e.body(since)
-	closes := w.fault(drainsearch.Closing, n.number) != nil
+	body, revision, readable := e.answerBody(since)
+	closes := w.fault(drainsearch.CloseAfterAnswer, n.number) != nil
 	header := ""
 	if closes {
 		header = "Connection: close\r\n"
 	}
-	if good {
-		n.heard, n.told = true, revision
+	if readable {
+		n.answered, n.answeredRevision = true, revision
 		w.audit.Answered(n.number, call, w.now(), revision)
-		w.note(Event{Node: n.name, What: fmt.Sprintf("is answered by discovery: revision %d", hostlist.FirstRevision+revision)})
+		w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("is answered by discovery: revision %d", hostlist.FirstRevision+revision)})
 	} else {
 		call.Failed(w.now())
-		w.note(Event{Node: n.name, What: "is answered by discovery what makes no sense"})
+		w.recordEvent(Event{Node: n.name, What: "is answered by discovery what makes no sense"})
 	}
 	_, err := fmt.Fprintf(d, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
 	return err == nil && !closes
 }
 
-// body is the text of an answer, the revision that it tells, and whether it can be read.
-func (e *endpoint) body(since int) (body string, revision int, good bool) {
+// answerBody is the text of an answer, the revision that it tells, and whether it can be read.
+func (e *endpoint) answerBody(since int) (body string, revision int, readable bool) {
 	w, n := e.node.world, e.node
 	fault := func(kind drainsearch.FaultKind) bool { return w.fault(kind, n.number) != nil }
 	revision = w.list.LatestRevision()
 	body = w.list.FullList(revision)
-	if since >= 0 && !fault(drainsearch.Whole) {
+	if since >= 0 && !fault(drainsearch.FullList) {
 		body = w.list.Delta(since)
 	}
-	switch first := since < 0 && !n.heard; {
-	case first && (w.script.Pushed || fault(drainsearch.Stale)):
+	switch first := since < 0 && !n.answered; {
+	case first && (w.script.Pushed || fault(drainsearch.StaleList)):
 		return body, revision, true
 	case fault(drainsearch.Truncated):
 		return body[:len(body)/2], revision, false
 	case fault(drainsearch.Garbled):
 		return strings.Replace(body, `"phase"`, `"phrase"`, 1) + "]", revision, false
-	case fault(drainsearch.Duplicate) && revision > 0:
+	case fault(drainsearch.DuplicateHost) && revision > 0:
 		return w.list.DuplicateHostAnswer(), revision, false
-	case fault(drainsearch.Stale) && revision > 0:
+	case fault(drainsearch.StaleList) && revision > 0:
 		old := revision / 2
-		return w.list.FullList(old), old, old >= n.told
+		return w.list.FullList(old), old, old >= n.answeredRevision
 	}
 	return body, revision, true
 }
--- a/internal/lab/soak/changes.go
+++ b/internal/lab/soak/changes.go
@@ -9,56 +9,56 @@
 	"tealtiller/internal/lab/hostlist"
 )
 
-// firstChanges are those from before the first process.
-func (w *world) firstChanges() {
+// applyInitialChanges are those from before the first process.
+func (w *world) applyInitialChanges() {
 	for _, c := range w.script.Changes {
 		if c.At <= 0 {
-			w.change(c)
+			w.applyChange(c)
 		}
 	}
 }
 
-// change plays a change at its host and has discovery know it. An agent learns nothing in an outage, and all at its end, in
+// applyChange plays a applyChange at its host and has discovery know it. An agent learns nothing in an outage, and all at its end, in
 // the order in which it happened.
-func (w *world) change(c drainsearch.Change) {
+func (w *world) applyChange(c drainsearch.Change) {
 	h := w.hosts[c.Host]
 	address, started := "", int64(0)
 	if c.Phase == drainaudit.InService {
 		address, started = h.restart(c.Moves), time.Now().UnixMilli()
 	}
 	if f := w.fault(drainsearch.Outage, 0); w.script.Pushed && f != nil {
-		if !w.sleepUntil(start + f.To + (c.At-f.From)/inOrder) {
+		if !w.sleepUntil(start + f.To + (c.At-f.From)/outageSpread) {
 			return
 		}
 	}
-	w.learn(c, address, started)
+	w.publish(c, address, started)
 	if c.Phase == drainaudit.Terminated && !w.script.GoneStaysUp {
-		h.halt()
+		h.stop()
 	}
 }
 
-// inOrder spreads what an agent learns at the end of an outage over some milliseconds, by when it happened.
-const inOrder = 1000
+// outageSpread spreads what an agent learns at the end of an outage over some milliseconds, by when it happened.
+const outageSpread = 1000
 
-// learn adds a change to the list; a host that is back in service has an address and a start.
-func (w *world) learn(c drainsearch.Change, address string, startedMS int64) {
+// publish adds a change to the list; a host that is back in service has an address and a start.
+func (w *world) publish(c drainsearch.Change, address string, startedMS int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	at := w.now()
 	if c.At <= 0 {
 		at = start + c.At
 	}
-	to := w.hosts[c.Host].listed
-	to.Phase = c.Phase
+	entry := w.hosts[c.Host].listed
+	entry.Phase = c.Phase
 	if c.Phase == drainaudit.InService {
-		to.Address, to.StartedMS = address, startedMS
+		entry.Address, entry.StartedMS = address, startedMS
 	}
-	w.hosts[c.Host].listed = to
-	revision := w.list.AddChange(c.Host, to)
-	w.audit.Changed(at, to.ID, c.Phase)
-	w.note(Event{Host: to.ID, What: fmt.Sprintf("list revision %d: %s", hostlist.FirstRevision+revision, hostlist.PhaseNames[c.Phase])})
-	close(w.news)
-	w.news = make(chan struct{})
+	w.hosts[c.Host].listed = entry
+	revision := w.list.AddChange(c.Host, entry)
+	w.audit.Changed(at, entry.ID, c.Phase)
+	w.recordEvent(Event{Host: entry.ID, What: fmt.Sprintf("list revision %d: %s", hostlist.FirstRevision+revision, hostlist.PhaseNames[c.Phase])})
+	close(w.listChanged)
+	w.listChanged = make(chan struct{})
 }
 
 // revisionAt is the revision that discovery had at a moment of the script.
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,10 +12,10 @@
 	"tealtiller/internal/lab/drainsearch"
 )
 
-// client plays one client of the script.
-func (w *world) client(index int, script drainsearch.Request) {
+// runClient plays one runClient of the script.
+func (w *world) runClient(index int, script drainsearch.Request) {
 	n := w.nodes[script.Balancer]
-	if !n.takesClients() {
+	if !n.acceptsClients() {
 		return
 	}
 	c, err := net.DialTimeout("tcp", n.listen, script.TTL)
@@ -23,20 +23,20 @@
 		return
 	}
 	defer c.Close()
-	w.open(c, w.ask(n, fmt.Sprint(index), script))
+	w.sendRequest(c, w.newRequest(n, fmt.Sprint(index), script))
 }
 
-// takesClients tells whether the front sends a balancer new connections.
-func (n *node) takesClients() bool {
+// acceptsClients tells whether the front sends a balancer new connections.
+func (n *node) acceptsClients() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	return n.serves
+	return n.inRotation
 }
 
-// restingClient connects, rests, and asks later, whatever has become of the balancer meanwhile.
-func (w *world) restingClient(index int, rest Resting) {
-	n := w.nodes[rest.Balancer]
-	if !n.takesClients() {
+// runIdleClient connects, rests, and asks later, whatever has become of the balancer meanwhile.
+func (w *world) runIdleClient(index int, idle IdleClient) {
+	n := w.nodes[idle.Balancer]
+	if !n.acceptsClients() {
 		return
 	}
 	c, err := net.DialTimeout("tcp", n.listen, time.Second)
@@ -44,14 +44,14 @@
 		return
 	}
 	defer c.Close()
-	script := drainsearch.Request{At: rest.At + rest.Asks, Balancer: rest.Balancer, Key: uint64(index), TTL: w.script.Deadline, Class: "safe"}
-	q := w.ask(n, fmt.Sprintf("rest%d", index), script)
+	script := drainsearch.Request{At: idle.At + idle.RequestAfter, Balancer: idle.Balancer, Key: uint64(index), TTL: w.script.Deadline, Class: "safe"}
+	q := w.newRequest(n, fmt.Sprintf("rest%d", index), script)
 	r := bufio.NewReader(c)
-	_ = c.SetReadDeadline(time.Now().Add(rest.Asks))
+	_ = c.SetReadDeadline(time.Now().Add(idle.RequestAfter))
 	if _, err := r.Peek(1); !timedOut(err) { // it was told to go, or ended
 		return
 	}
-	w.open(c, q)
+	w.sendRequest(c, q)
 }
 
 func timedOut(err error) bool {
@@ -59,11 +59,11 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// lateAnswer is how much later than its time a request's answer may come; later it is lost.
-const lateAnswer = 500 * time.Millisecond
+// answerSlack is how much later than its time a request's answer may come; later it is lost.
+const answerSlack = 500 * time.Millisecond
 
-// open sends a request and reads what comes of it.
-func (w *world) open(c net.Conn, q *requestRecord) {
+// sendRequest sends a request and reads what comes of it.
+func (w *world) sendRequest(c net.Conn, q *requestRecord) {
 	mid := ""
 	if q.script.MidFlow && !w.script.Proxy {
 		mid = ",mid=1"
@@ -74,68 +74,68 @@
 		return
 	}
 	w.mu.Lock()
-	q.asked = w.now()
+	q.sentAt = w.now()
 	w.mu.Unlock()
 	if q.script.Leaves > 0 {
-		w.group.Go(func() { w.leave(c, q) })
+		w.group.Go(func() { w.leaveEarly(c, q) })
 	}
 	r := bufio.NewReader(c)
-	_ = c.SetReadDeadline(time.Now().Add(ttl + lateAnswer + time.Second))
+	_ = c.SetReadDeadline(time.Now().Add(ttl + answerSlack + time.Second))
 	answer, err := r.ReadString('\n')
 	w.mu.Lock()
 	at := w.now()
 	if err == nil {
-		q.answered, q.answer = at, strings.TrimSpace(answer)
+		q.answeredAt, q.answer = at, strings.TrimSpace(answer)
 	} else {
-		q.ended, q.excused = at, w.excuse(q, at)
+		q.endedAt, q.excuse = at, w.excuse(q, at)
 	}
 	w.mu.Unlock()
 	switch {
 	case err != nil:
 	case strings.HasPrefix(answer, "UP "):
-		w.stand(c, r, q)
+		w.useConnection(c, r, q)
 	default:
-		w.awaitSecond(c, r, q)
+		w.checkSecondAnswer(c, r, q)
 	}
 }
 
-// leave has a client go before its answer.
-func (w *world) leave(c net.Conn, q *requestRecord) {
+// leaveEarly has a client go before its answer.
+func (w *world) leaveEarly(c net.Conn, q *requestRecord) {
 	if !w.sleep(q.script.Leaves) {
 		return
 	}
 	w.mu.Lock()
-	gone := q.answered == 0 && q.ended == 0
-	if gone {
-		q.left = w.now()
+	leaves := q.answeredAt == 0 && q.endedAt == 0
+	if leaves {
+		q.leftAt = w.now()
 	}
 	w.mu.Unlock()
-	if gone {
+	if leaves {
 		_ = c.Close()
 	}
 }
 
-// awaitSecond reads whether a second answer follows a final one.
-func (w *world) awaitSecond(c net.Conn, r *bufio.Reader, q *requestRecord) {
-	_ = c.SetReadDeadline(time.Now().Add(lateAnswer))
+// checkSecondAnswer reads whether a second answer follows a final one.
+func (w *world) checkSecondAnswer(c net.Conn, r *bufio.Reader, q *requestRecord) {
+	_ = c.SetReadDeadline(time.Now().Add(answerSlack))
 	if more, err := r.ReadString('\n'); err == nil {
 		w.mu.Lock()
-		q.more = strings.TrimSpace(more)
+		q.secondAnswer = strings.TrimSpace(more)
 		w.mu.Unlock()
 	}
 }
 
 // Of standing connections: how often a client sends a line, and how soon one has to bring something back, be ended or moved.
 const (
-	linePause     = 400 * time.Millisecond
-	heldBackAfter = time.Second
-	silentAfter   = 7 * time.Second
+	lineInterval = 400 * time.Millisecond
+	maxLineDelay = time.Second
+	maxSilence   = 7 * time.Second
 )
 
-// stand uses a connection until it ends, whatever becomes of the balancer.
-func (w *world) stand(c net.Conn, r *bufio.Reader, q *requestRecord) {
+// useConnection uses a connection until it ends, whatever becomes of the balancer.
+func (w *world) useConnection(c net.Conn, r *bufio.Reader, q *requestRecord) {
 	for i := 0; w.ctx.Err() == nil; i++ {
-		_ = c.SetReadDeadline(time.Now().Add(linePause))
+		_ = c.SetReadDeadline(time.Now().Add(lineInterval))
 		line, err := r.ReadString('\n')
 		if timedOut(err) {
 			line, err = w.sendLine(c, r, q, i)
@@ -143,7 +143,7 @@
 		if err == nil && strings.HasPrefix(line, "OK ") {
 			continue
 		}
-		w.standEnded(q, line, err)
+		w.connectionEnded(q, line, err)
 		return
 	}
 }
@@ -154,49 +154,49 @@
 		return "", err
 	}
 	sent := w.now()
-	_ = c.SetReadDeadline(time.Now().Add(silentAfter))
+	_ = c.SetReadDeadline(time.Now().Add(maxSilence))
 	line, err = r.ReadString('\n')
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	if err == nil && strings.HasPrefix(line, "OK ") {
 		q.lines++
-		if took := w.now() - sent; took > heldBackAfter+w.jitter.about(w.now()) && !w.hostDisturbed(q) {
-			w.broke(Break{Rule: "held", At: sent - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("a line came back after %v", took)})
+		if took := w.now() - sent; took > maxLineDelay+w.jitter.around(w.now()) && !w.hostDisturbed(q) {
+			w.recordViolation(Break{Rule: "held", At: sent - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("a line came back after %v", took)})
 		}
 	}
 	return line, err
 }
 
-// standEnded judges the end of a standing connection.
-func (w *world) standEnded(q *requestRecord, line string, err error) {
+// connectionEnded judges the end of a standing connection.
+func (w *world) connectionEnded(q *requestRecord, line string, err error) {
 	word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	q.ended = w.now()
+	q.endedAt = w.now()
 	switch {
 	case w.ctx.Err() != nil, err == nil && (word == "MOVE" || word == "BYE"):
 	case timedOut(err) && !w.hostDisturbed(q):
-		w.broke(Break{Rule: "silent", At: q.ended - start, Node: q.node.name, Request: q.id, What: "nothing came back for 7 s"})
-	case w.excuse(q, q.ended) != "" || w.hostDisturbed(q):
+		w.recordViolation(Break{Rule: "silent", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: "nothing came back for 7 s"})
+	case w.excuse(q, q.endedAt) != "" || w.hostDisturbed(q):
 	case err == nil:
-		w.broke(Break{Rule: "answers", At: q.ended - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("a standing connection got %q", line)})
+		w.recordViolation(Break{Rule: "answers", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("a standing connection got %q", line)})
 	default:
-		w.broke(Break{Rule: "lost", At: q.ended - start, Node: q.node.name, Request: q.id,
+		w.recordViolation(Break{Rule: "lost", At: q.endedAt - start, Node: q.node.name, Request: q.id,
 			What: fmt.Sprintf("a standing connection was cut off without MOVE: %v", err)})
 	}
 }
 
-// crowd opens idle connections and keeps them.
-func (w *world) crowd(crowd Crowd) {
-	n := w.nodes[crowd.Balancer]
-	n.note("a crowd of %d idle connections until %.3f", crowd.Connections, crowd.To.Seconds())
+// playFlood opens idle connections and keeps them.
+func (w *world) playFlood(flood ConnectionFlood) {
+	n := w.nodes[flood.Balancer]
+	n.recordEvent("a crowd of %d idle connections until %.3f", flood.Connections, flood.To.Seconds())
 	var conns []net.Conn
-	for range crowd.Connections {
+	for range flood.Connections {
 		if c, err := net.DialTimeout("tcp", n.listen, time.Second); err == nil {
 			conns = append(conns, c)
 		}
 	}
-	w.sleepUntil(start + crowd.To)
+	w.sleepUntil(start + flood.To)
 	for _, c := range conns {
 		_ = c.Close()
 	}
--- a/internal/lab/soak/crossings.go
+++ b/internal/lab/soak/crossings.go
@@ -24,14 +24,14 @@
 // DrawCrossings makes the run of a seed in which events meet that Draw seldom has meet: connections to hosts come up as these
 // drain, clients leave in a burst while their balancer is stopped, and all hosts hang through a shutdown.
 func DrawCrossings(seed uint64) *Script {
-	d := dice{rand.New(rand.NewPCG(seed, crossingsStream))}
-	s := &Script{Script: drainsearch.Script{Seed: seed, Length: crossingsLength, Pushed: d.chance(0.4), Balancers: 1 + d.IntN(3), Hosts: 4 + d.IntN(3),
-		Grace: pick[time.Duration](d, 250, 300, 400) * ms, Aim: crossingsAim, AskWithin: 10 * time.Second, Connect: crossingsConnect},
-		Proxy: d.chance(0.4), MaxAttempts: pick(d, 1, 1, 2, 6), Deadline: crossingsDeadline, GoneStaysUp: true}
-	d.lateConnections(s)
-	d.leavingBursts(s)
-	d.hangingShutdown(s)
-	d.traffic(s)
+	rnd := randomSource{rand.New(rand.NewPCG(seed, crossingsStream))}
+	s := &Script{Script: drainsearch.Script{Seed: seed, Length: crossingsLength, Pushed: rnd.withProbability(0.4), Balancers: 1 + rnd.IntN(3), Hosts: 4 + rnd.IntN(3),
+		Grace: pick[time.Duration](rnd, 250, 300, 400) * ms, Aim: crossingsAim, AskWithin: 10 * time.Second, Connect: crossingsConnect},
+		Proxy: rnd.withProbability(0.4), MaxAttempts: pick(rnd, 1, 1, 2, 6), Deadline: crossingsDeadline, GoneStaysUp: true}
+	rnd.addLateConnections(s)
+	rnd.addLeavingBursts(s)
+	rnd.addHangingShutdown(s)
+	rnd.addTraffic(s)
 	slices.SortStableFunc(s.Changes, func(a, b drainsearch.Change) int { return int(a.At - b.At) })
 	return s
 }
@@ -39,22 +39,22 @@
 // Of connections that come up late: the system asks again for one after lateBy, so those that are asked for within that time,
 // less the grace, before a drain come up once its grace is over.
 const (
-	lateBy        = time.Second
+	synRetryDelay = time.Second
 	lateRequests  = 30
-	betweenDrains = 2500 * ms
+	drainInterval = 2500 * ms
 )
 
-// lateConnections draws hosts that drain while connections to them are under way.
-func (d dice) lateConnections(s *Script) {
-	at := d.between(2*time.Second, 3*time.Second)
+// addLateConnections draws hosts that drain while connections to them are under way.
+func (rnd randomSource) addLateConnections(s *Script) {
+	at := rnd.between(2*time.Second, 3*time.Second)
 	for host := range s.Hosts - 2 { // some stay
-		from := at - lateBy + s.Grace + slack
+		from := at - synRetryDelay + s.Grace + slack
 		s.Changes = append(s.Changes, drainsearch.Change{At: at, Host: host, Phase: drainaudit.Terminating})
-		s.HostFaults = append(s.HostFaults, HostFault{Kind: HostLate, Host: host, From: from - 100*ms, To: at - 10*ms})
+		s.HostFaults = append(s.HostFaults, HostFault{Kind: HostNotAccepting, Host: host, From: from - 100*ms, To: at - 10*ms})
 		for range lateRequests {
-			s.Requests = append(s.Requests, d.request(s, d.between(from, at-20*ms), d.IntN(s.Balancers)))
+			s.Requests = append(s.Requests, rnd.drawRequest(s, rnd.between(from, at-20*ms), rnd.IntN(s.Balancers)))
 		}
-		at += betweenDrains
+		at += drainInterval
 	}
 }
 
@@ -62,40 +62,40 @@
 // they ask they leave. A stop in the moment between the last look at a client and the first byte is shorter than the time in
 // which an attempt may follow its client; what is written after the second one had another look, or is written without any.
 const (
-	burstClients     = 250
-	burstStopsLatest = 25 * ms
-	burstLeaves      = 35 * ms
-	burstStop        = 95 * ms
+	burstClients       = 250
+	burstMaxPauseDelay = 25 * ms
+	burstLeaveDelay    = 35 * ms
+	burstPause         = 95 * ms
 )
 
-// leavingBursts draws many requests at once, whose clients leave while their balancer is stopped in the midst of them.
-func (d dice) leavingBursts(s *Script) {
+// addLeavingBursts draws many requests at once, whose clients leave while their balancer is stopped in the midst of them.
+func (rnd randomSource) addLeavingBursts(s *Script) {
 	for range 4 {
-		at, balancer := d.between(2*time.Second, s.Length-3*time.Second), d.IntN(s.Balancers)
-		s.Pauses = append(s.Pauses, Pause{At: at + d.between(0, burstStopsLatest), Balancer: balancer, For: burstStop, Twice: true})
+		at, balancer := rnd.between(2*time.Second, s.Length-3*time.Second), rnd.IntN(s.Balancers)
+		s.Pauses = append(s.Pauses, Pause{At: at + rnd.between(0, burstMaxPauseDelay), Balancer: balancer, For: burstPause, Twice: true})
 		for range burstClients {
-			r := d.request(s, at, balancer)
-			r.Leaves = burstLeaves
+			r := rnd.drawRequest(s, at, balancer)
+			r.Leaves = burstLeaveDelay
 			s.Requests = append(s.Requests, r)
 		}
 	}
 }
 
-// hangingShutdown draws a planned restart through the whole of which all hosts hang, with requests that are open then. Where one
+// addHangingShutdown draws a planned restart through the whole of which all hosts hang, with requests that are open then. Where one
 // may be attempted once only it is still owed its answer as the process is killed.
-func (d dice) hangingShutdown(s *Script) {
-	at, balancer := d.between(8*time.Second, s.Length-7*time.Second), d.IntN(s.Balancers)
+func (rnd randomSource) addHangingShutdown(s *Script) {
+	at, balancer := rnd.between(8*time.Second, s.Length-7*time.Second), rnd.IntN(s.Balancers)
 	s.Terminations = append(s.Terminations, Termination{At: at, Balancer: balancer})
 	for host := range s.Hosts {
 		s.HostFaults = append(s.HostFaults, HostFault{Kind: HostHangs, Host: host, From: at - time.Second, To: at + 5*time.Second})
 	}
 	for range 20 {
-		s.Requests = append(s.Requests, d.request(s, at+d.between(-300*ms, 250*ms), balancer))
+		s.Requests = append(s.Requests, rnd.drawRequest(s, at+rnd.between(-300*ms, 250*ms), balancer))
 	}
 }
 
-// request draws a plain request that a host answers as it comes.
-func (d dice) request(s *Script, at time.Duration, balancer int) drainsearch.Request {
-	return drainsearch.Request{At: at, Balancer: balancer, Key: d.Uint64N(1 << 20), TTL: s.Deadline,
-		Class: pick(d, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.Up}}
+// drawRequest draws a plain drawRequest that a host answers as it comes.
+func (rnd randomSource) drawRequest(s *Script, at time.Duration, balancer int) drainsearch.Request {
+	return drainsearch.Request{At: at, Balancer: balancer, Key: rnd.Uint64N(1 << 20), TTL: s.Deadline,
+		Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.Up}}
 }
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -42,7 +42,7 @@
 	n.world.group.Go(e.accept)
 	n.world.group.Go(func() {
 		<-n.world.ctx.Done()
-		e.leave(0)
+		e.shutDown(0)
 	})
 	return e, nil
 }
@@ -69,19 +69,19 @@
 	}
 }
 
-// leave takes no new connection any more and ends the open ones after a time: discovery has moved.
-func (e *endpoint) leave(after time.Duration) {
+// shutDown takes no new connection any more and ends the open ones after a time: discovery has moved.
+func (e *endpoint) shutDown(after time.Duration) {
 	_ = e.listener.Close()
 	e.node.world.sleep(after)
-	e.each(func(d *discoveryConn) { _ = d.Close() })
+	e.forEachConn(func(d *discoveryConn) { _ = d.Close() })
 }
 
-// each does something with every open connection.
-func (e *endpoint) each(do func(*discoveryConn)) {
+// forEachConn does something with every open connection.
+func (e *endpoint) forEachConn(action func(*discoveryConn)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
 	for d := range e.conns {
-		do(d)
+		action(d)
 	}
 }
 
@@ -90,12 +90,12 @@
 func (e *endpoint) serve(d *discoveryConn) {
 	w := e.node.world
 	if w.fault(drainsearch.Outage, e.node.number) != nil && !w.script.Pushed {
-		d.refusedAtOnce()
+		d.refuseConnection()
 		return
 	}
-	calls, gone := make(chan *http.Request), make(chan struct{})
+	calls, disconnected := make(chan *http.Request), make(chan struct{})
 	w.group.Go(func() {
-		defer close(gone)
+		defer close(disconnected)
 		r := bufio.NewReader(d)
 		for {
 			request, err := http.ReadRequest(r)
@@ -113,10 +113,10 @@
 	for {
 		select {
 		case request := <-calls:
-			if !e.answer(d, request, gone) {
+			if !e.handleCall(d, request, disconnected) {
 				return
 			}
-		case <-gone:
+		case <-disconnected:
 			return
 		case <-w.ctx.Done():
 			return
@@ -124,8 +124,8 @@
 	}
 }
 
-// refusedAtOnce resets a connection that discovery, being down, does not take.
-func (d *discoveryConn) refusedAtOnce() {
+// refuseConnection resets a connection that discovery, being down, does not take.
+func (d *discoveryConn) refuseConnection() {
 	w, n := d.endpoint.node.world, d.endpoint.node
 	w.mu.Lock()
 	w.audit.Called(n.number, w.now(), 0).Refused(w.now())
@@ -133,44 +133,44 @@
 	reset(d.Conn)
 }
 
-// answer answers one call; false if the connection is of no further use.
-func (e *endpoint) answer(d *discoveryConn, request *http.Request, gone <-chan struct{}) bool {
+// handleCall answers one call; false if the connection is of no further use.
+func (e *endpoint) handleCall(d *discoveryConn, request *http.Request, disconnected <-chan struct{}) bool {
 	w, n := e.node.world, e.node
 	if w.options.Plant == LateCalls && !w.sleep(time.Second) {
 		return false
 	}
-	since, wait := parse(request)
+	since, wait := parseCall(request)
 	w.mu.Lock()
 	began := w.now()
 	call := w.audit.Called(n.number, began, wait)
-	w.note(Event{Node: n.name, What: fmt.Sprintf("calls discovery: since %d, wait %v", since, wait)})
+	w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("calls discovery: since %d, wait %v", since, wait)})
 	w.mu.Unlock()
-	d.opens(call)
-	how := e.await(d, began, since, wait, gone)
+	d.setCall(call)
+	result := e.awaitAnswer(d, began, since, wait, disconnected)
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	d.mu.Lock()
 	d.call = nil
 	d.mu.Unlock()
-	switch how {
-	case answers:
-		return e.write(d, call, since)
-	case refuses:
+	switch result {
+	case outcomeAnswer:
+		return e.writeAnswer(d, call, since)
+	case outcomeRefuse:
 		call.Refused(w.now())
-		w.note(Event{Node: n.name, What: "is refused by discovery"})
+		w.recordEvent(Event{Node: n.name, What: "is refused by discovery"})
 		_, err := io.WriteString(d, "HTTP/1.1 503 Service Unavailable\r\nContent-Length: 0\r\n\r\n")
 		return err == nil
-	case ends:
+	case outcomeReset:
 		call.Refused(w.now())
 		reset(d.Conn)
-	case givenUp:
+	case outcomeAbandoned:
 		call.Failed(w.now())
-		w.note(Event{Node: n.name, What: "gives a call to discovery up"})
+		w.recordEvent(Event{Node: n.name, What: "gives a call to discovery up"})
 	}
 	return false
 }
 
-func (d *discoveryConn) opens(call *drainaudit.Call) {
+func (d *discoveryConn) setCall(call *drainaudit.Call) {
 	d.mu.Lock()
 	defer d.mu.Unlock()
 	d.call = call
@@ -189,16 +189,16 @@
 	}
 }
 
-// strike is the first moment of trouble on the way to discovery, for what is open then.
-func (w *world) strike(f drainsearch.Fault) {
+// applyFault is the first moment of trouble on the way to discovery, for what is open then.
+func (w *world) applyFault(f drainsearch.Fault) {
 	w.mu.Lock()
-	w.note(Event{What: fmt.Sprintf("discovery: trouble of kind %d for balancer %d until %.3f, delay %v", f.Kind, f.Balancer, f.To.Seconds(), f.Delay)})
+	w.recordEvent(Event{What: fmt.Sprintf("discovery: trouble of kind %d for balancer %d until %.3f, delay %v", f.Kind, f.Balancer, f.To.Seconds(), f.Delay)})
 	w.mu.Unlock()
 	for _, n := range w.nodes {
 		if f.Balancer >= 0 && f.Balancer != n.number {
 			continue
 		}
-		n.current().each(func(d *discoveryConn) {
+		n.currentEndpoint().forEachConn(func(d *discoveryConn) {
 			switch {
 			case f.Kind == drainsearch.Silent, f.Kind == drainsearch.Hung, f.Kind == drainsearch.Outage && w.script.Pushed:
 				go d.silence(w.now())
--- a/internal/lab/soak/host.go
+++ b/internal/lab/soak/host.go
@@ -10,20 +10,20 @@
 
 // host is one of the hosts that serve clients.
 type host struct {
-	world    *world
-	index    int
-	listed   hostlist.Host // as discovery has it; the run's lock guards it
-	mu       sync.Mutex
-	listener net.Listener
-	conns    map[net.Conn]bool
-	again    chan struct{} // closed when the host takes connections again
+	world       *world
+	index       int
+	listed      hostlist.Host // as discovery has it; the run's lock guards it
+	mu          sync.Mutex
+	listener    net.Listener
+	conns       map[net.Conn]bool
+	acceptAgain chan struct{} // closed when the host takes connections again
 }
 
 func (w *world) startHosts() error {
 	var all []hostlist.Host
 	for i := range w.script.Hosts {
 		h := &host{world: w, index: i, conns: map[net.Conn]bool{}}
-		if err := h.open("127.0.0.1:0"); err != nil {
+		if err := h.listen("127.0.0.1:0"); err != nil {
 			return err
 		}
 		h.listed = hostlist.Host{ID: fmt.Sprintf("s-%d", i), Address: h.listener.Addr().String()}
@@ -34,8 +34,8 @@
 	return nil
 }
 
-// open has the host take connections at an address.
-func (h *host) open(address string) error {
+// listen has the host take connections at an address.
+func (h *host) listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
 		return err
@@ -54,10 +54,10 @@
 		switch {
 		case timedOut(err):
 			h.mu.Lock()
-			again := h.again
+			acceptAgain := h.acceptAgain
 			h.mu.Unlock()
 			select {
-			case <-again:
+			case <-acceptAgain:
 			case <-h.world.ctx.Done():
 				return
 			}
@@ -72,8 +72,8 @@
 	}
 }
 
-// halt ends the host's process: connections are reset, new ones refused.
-func (h *host) halt() {
+// stop ends the host's process: connections are reset, new ones refused.
+func (h *host) stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	if h.listener != nil {
@@ -86,19 +86,19 @@
 
 // restart ends the host's process and starts another one, at the same address or a new one.
 func (h *host) restart(moves bool) (address string) {
-	h.halt()
+	h.stop()
 	address = h.listener.Addr().String()
 	if moves {
 		address = "127.0.0.1:0"
 	}
-	if err := h.open(address); err != nil { // the address is taken
-		_ = h.open("127.0.0.1:0")
+	if err := h.listen(address); err != nil { // the address is taken
+		_ = h.listen("127.0.0.1:0")
 	}
 	return h.listener.Addr().String()
 }
 
-// fault is the trouble of a kind that the host has now.
-func (h *host) fault(kind HostFaultKind) bool {
+// hasFault is the trouble of a kind that the host has now.
+func (h *host) hasFault(kind HostFaultKind) bool {
 	now := h.world.now() - start
 	for _, f := range h.world.script.HostFaults {
 		if f.Kind == kind && f.Host == h.index && f.From <= now && now < f.To {
@@ -108,16 +108,16 @@
 	return false
 }
 
-// strike is the first moment of trouble.
-func (h *host) strike(f HostFault) {
+// applyFault is the first moment of trouble.
+func (h *host) applyFault(f HostFault) {
 	h.world.mu.Lock()
-	h.world.note(Event{Host: h.listed.ID, What: fmt.Sprintf("host: trouble of kind %d until %.3f", f.Kind, f.To.Seconds())})
+	h.world.recordEvent(Event{Host: h.listed.ID, What: fmt.Sprintf("host: trouble of kind %d until %.3f", f.Kind, f.To.Seconds())})
 	h.world.mu.Unlock()
 	switch f.Kind {
 	case HostResets:
 		h.resetAll()
-	case HostLate:
-		h.takeNone(start + f.To)
+	case HostNotAccepting:
+		h.stopAccepting(start + f.To)
 	}
 }
 
@@ -126,20 +126,20 @@
 	h.mu.Lock()
 	defer h.mu.Unlock()
 	for c := range h.conns {
-		h.endedByHost(c)
+		h.markDisturbed(c)
 		reset(c)
 	}
 }
 
-// endedByHost notes that what stands on a connection ends by the host's doing.
-func (h *host) endedByHost(c net.Conn) {
+// markDisturbed notes that what stands on a connection ends by the host's doing.
+func (h *host) markDisturbed(c net.Conn) {
 	w := h.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	for _, q := range w.requests {
 		for _, a := range q.attempts {
 			if a.conn == c {
-				a.hostEnded = true
+				a.disturbed = true
 			}
 		}
 	}
--- a/internal/lab/soak/host_answers.go
+++ b/internal/lab/soak/host_answers.go
@@ -30,11 +30,11 @@
 	line := string(first) + rest
 	words := strings.Fields(line)
 	if err != nil || len(words) != 4 || words[0] != "OPEN" {
-		h.world.malformed(h, line)
+		h.world.recordMalformed(h, line)
 		_, _ = io.WriteString(c, "SYNTAX\r\n")
 		return
 	}
-	a := h.world.attempt(h, c, words[1], at)
+	a := h.world.recordAttempt(h, c, words[1], at)
 	if a == nil {
 		return
 	}
@@ -47,39 +47,39 @@
 	w.mu.Lock()
 	drains := h.listed.Phase != drainaudit.InService
 	w.mu.Unlock()
-	switch how := a.request.nextAnswer(len(a.request.attempts) - 1); {
-	case h.fault(HostHangs) || how == drainsearch.Nothing:
+	switch scripted := a.request.nextAnswer(len(a.request.attempts) - 1); {
+	case h.hasFault(HostHangs) || scripted == drainsearch.Nothing:
 		h.awaitEnd(r, a)
-	case drains || how == drainsearch.Busy:
-		h.says(c, r, a, "BUSY", resultNeverRan)
-	case how == drainsearch.Errs:
-		h.says(c, r, a, "ERR", resultMayHaveRun)
-	case how == drainsearch.Resets:
-		w.over(a, resultMayHaveRun)
+	case drains || scripted == drainsearch.Busy:
+		h.sendFinal(c, r, a, "BUSY", resultNotExecuted)
+	case scripted == drainsearch.Errs:
+		h.sendFinal(c, r, a, "ERR", resultMaybeExecuted)
+	case scripted == drainsearch.Resets:
+		w.attemptEnded(a, resultMaybeExecuted)
 		reset(c)
 	default:
-		h.up(c, r, a)
+		h.serveConnection(c, r, a)
 	}
 }
 
 // awaitEnd waits for the balancer to give an attempt up.
 func (h *host) awaitEnd(r io.Reader, a *attempt) {
 	_, _ = io.Copy(io.Discard, r)
-	h.world.over(a, resultMayHaveRun)
+	h.world.attemptEnded(a, resultMaybeExecuted)
 }
 
-// says ends an attempt with a line.
-func (h *host) says(c net.Conn, r *bufio.Reader, a *attempt, line string, result attemptResult) {
-	if !h.delays(c, r, a) {
+// sendFinal ends an attempt with a line.
+func (h *host) sendFinal(c net.Conn, r *bufio.Reader, a *attempt, line string, result attemptResult) {
+	if !h.delayAnswer(c, r, a) {
 		return
 	}
-	h.world.over(a, result) // from here on it is over for who reads the line
+	h.world.attemptEnded(a, result) // from here on it is over for who reads the line
 	_ = h.write(c, line+"\r\n")
 }
 
 // write writes a line, in pieces where the host does so now.
 func (h *host) write(c net.Conn, line string) error {
-	if !h.fault(HostPieces) {
+	if !h.hasFault(HostFragments) {
 		_, err := io.WriteString(c, line)
 		return err
 	}
@@ -97,57 +97,57 @@
 // hostDelay is how late a slow host answers.
 const hostDelay = 200 * time.Millisecond
 
-// delays has an answer come late where the host does so now; false if the balancer has given the attempt up meanwhile.
-func (h *host) delays(c net.Conn, r *bufio.Reader, a *attempt) bool {
-	if !h.fault(HostDelays) {
+// delayAnswer has an answer come late where the host does so now; false if the balancer has given the attempt up meanwhile.
+func (h *host) delayAnswer(c net.Conn, r *bufio.Reader, a *attempt) bool {
+	if !h.hasFault(HostDelays) {
 		return true
 	}
 	_ = c.SetReadDeadline(time.Now().Add(hostDelay))
 	defer func() { _ = c.SetReadDeadline(time.Time{}) }()
 	if _, err := r.Peek(1); err != nil && !timedOut(err) {
-		h.world.over(a, resultMayHaveRun)
+		h.world.attemptEnded(a, resultMaybeExecuted)
 		return false
 	}
 	return true
 }
 
-// up brings a connection up and answers its lines until one side ends it.
-func (h *host) up(c net.Conn, r *bufio.Reader, a *attempt) {
-	if !h.delays(c, r, a) {
+// serveConnection brings a connection serveConnection and answers its lines until one side ends it.
+func (h *host) serveConnection(c net.Conn, r *bufio.Reader, a *attempt) {
+	if !h.delayAnswer(c, r, a) {
 		return
 	}
-	if !h.world.stands(a) { // the run is over, and the connection ends with it
-		h.world.over(a, resultMayHaveRun)
+	if !h.world.attemptEstablished(a) { // the run is over, and the connection ends with it
+		h.world.attemptEnded(a, resultMaybeExecuted)
 		return
 	}
 	if h.write(c, "UP "+a.receipt+"\r\n") != nil {
-		h.world.over(a, resultMayHaveRun)
+		h.world.attemptEnded(a, resultMaybeExecuted)
 		return
 	}
 	for {
 		line, err := r.ReadString('\n')
 		if err != nil {
-			h.world.over(a, resultMayHaveRun)
+			h.world.attemptEnded(a, resultMaybeExecuted)
 			if errors.Is(err, io.EOF) {
 				_, _ = io.WriteString(c, "BYE\r\n")
 			}
 			return
 		}
-		if h.fault(HostHangs) {
-			h.hangs(a)
+		if h.hasFault(HostHangs) {
+			h.markHung(a)
 			h.awaitEnd(r, a)
 			return
 		}
 		if h.write(c, "OK "+line) != nil {
-			h.world.over(a, resultMayHaveRun)
+			h.world.attemptEnded(a, resultMaybeExecuted)
 			return
 		}
 	}
 }
 
-// hangs notes that what stands gets no answer any more.
-func (h *host) hangs(a *attempt) {
+// markHung notes that what stands gets no answer any more.
+func (h *host) markHung(a *attempt) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
-	a.hostEnded = true
+	a.disturbed = true
 }
--- a/internal/lab/soak/host_late.go
+++ b/internal/lab/soak/host_late.go
@@ -10,24 +10,24 @@
 // Of a host that takes no connections: how long its queue is when it does, how many connections of its own fill the queue, and how
 // long one may take to find it full.
 const (
-	usualBacklog = 4096
-	mostFillers  = 4
-	fillerWait   = 30 * time.Millisecond
+	normalBacklog = 4096
+	maxFillers    = 4
+	fillerWait    = 30 * time.Millisecond
 )
 
-// takeNone has the host take no connections until a moment. Its queue is full meanwhile, so the system drops what asks for
+// stopAccepting has the host take no connections until a moment. Its queue is full meanwhile, so the system drops what asks for
 // one, and it comes up when it is asked for again, a second later.
-func (h *host) takeNone(until time.Duration) {
+func (h *host) stopAccepting(until time.Duration) {
 	h.mu.Lock()
-	l, again := h.listener.(*net.TCPListener), make(chan struct{})
-	h.again = again
+	l, acceptAgain := h.listener.(*net.TCPListener), make(chan struct{})
+	h.acceptAgain = acceptAgain
 	h.mu.Unlock()
-	defer close(again)
+	defer close(acceptAgain)
 	_ = l.SetDeadline(time.Unix(1, 0)) // ends the waiting accept
 	setBacklog(l, 0)
-	fillers := fill(l.Addr().String())
+	fillers := fillBacklog(l.Addr().String())
 	h.world.sleepUntil(until)
-	setBacklog(l, usualBacklog)
+	setBacklog(l, normalBacklog)
 	// What came into the queue before it was full would be read only now, and is no attempt.
 	_ = l.SetDeadline(time.Now().Add(time.Millisecond))
 	for {
@@ -49,9 +49,9 @@
 	}
 }
 
-// fill makes connections until one finds the queue full.
-func fill(address string) (fillers []net.Conn) {
-	for range mostFillers {
+// fillBacklog makes connections until one finds the queue full.
+func fillBacklog(address string) (fillers []net.Conn) {
+	for range maxFillers {
 		c, err := net.DialTimeout("tcp", address, fillerWait)
 		if err != nil {
 			break
--- a/internal/lab/soak/jitter.go
+++ b/internal/lab/soak/jitter.go
@@ -12,25 +12,25 @@
 	delays []delay
 }
 
-type delay struct{ at, by time.Duration }
+type delay struct{ at, amount time.Duration }
 
 // jitterTick is how often the delay is measured, jitterLeast what is worth keeping.
 const (
-	jitterTick  = 5 * time.Millisecond
-	jitterLeast = 2 * time.Millisecond
+	jitterInterval = 5 * time.Millisecond
+	minJitter      = 2 * time.Millisecond
 )
 
 func newJitter(w *world) *jitter {
 	j := &jitter{}
 	w.group.Go(func() {
 		for {
-			due := w.now() + jitterTick
-			if !w.sleep(jitterTick) {
+			due := w.now() + jitterInterval
+			if !w.sleep(jitterInterval) {
 				return
 			}
-			if by := w.now() - due; by > jitterLeast {
+			if amount := w.now() - due; amount > minJitter {
 				j.mu.Lock()
-				j.delays = append(j.delays, delay{due, by})
+				j.delays = append(j.delays, delay{due, amount})
 				j.mu.Unlock()
 			}
 		}
@@ -38,22 +38,22 @@
 	return j
 }
 
-// worst is the longest delay measured between two moments.
-func (j *jitter) worst(from, to time.Duration) (most time.Duration) {
+// longest is the longest delay measured between two moments.
+func (j *jitter) longest(from, to time.Duration) (longest time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
 	for _, d := range j.delays {
 		if from <= d.at && d.at <= to {
-			most = max(most, d.by)
+			longest = max(longest, d.amount)
 		}
 	}
-	return most
+	return longest
 }
 
-// about is how late what was seen at a moment may have been seen.
-func (j *jitter) about(at time.Duration) time.Duration {
-	return measured + j.worst(at-time.Second, at+time.Second)
+// around is how late what was seen at a moment may have been seen.
+func (j *jitter) around(at time.Duration) time.Duration {
+	return idleJitter + j.longest(at-time.Second, at+time.Second)
 }
 
-// measured is what two readings of different goroutines may differ by on an idle machine.
-const measured = 10 * time.Millisecond
+// idleJitter is what two readings of different goroutines may differ by on an idle machine.
+const idleJitter = 10 * time.Millisecond
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -18,23 +18,23 @@
 
 // node is one balancer of the fleet, and the process of it that runs.
 type node struct {
-	world     *world
-	number    int
-	name      string
-	listen    string
-	folder    string
-	heard     bool // an answer that can be read was written to this process; the run's lock guards it
-	told      int  // the revision of the last such answer
-	mu        sync.Mutex
-	endpoints []*endpoint
-	process   int // in order
-	known     int // revision of the list in its configuration
-	cmd       *exec.Cmd
-	done      chan struct{}
-	serves    bool          // the front sends it new connections
-	killedAt  time.Duration // of this process; 0 while it was not
-	sigtermAt time.Duration
-	attempted chan struct{} // has one in it once this balancer has written an attempt
+	world            *world
+	number           int
+	name             string
+	listen           string
+	folder           string
+	answered         bool // an answer that can be read was written to this process; the run's lock guards it
+	answeredRevision int  // the revision of the last such answer
+	mu               sync.Mutex
+	endpoints        []*endpoint
+	process          int // in order
+	knownRevision    int // revision of the list in its configuration
+	cmd              *exec.Cmd
+	done             chan struct{}
+	inRotation       bool          // the front sends it new connections
+	killedAt         time.Duration // of this process; 0 while it was not
+	sigtermAt        time.Duration
+	attempted        chan struct{} // has one in it once this balancer has written an attempt
 }
 
 func newNode(w *world, number int) (*node, error) {
@@ -61,42 +61,42 @@
 	listenPort = 23000
 )
 
-// current is where discovery serves it now.
-func (n *node) current() *endpoint {
+// currentEndpoint is where discovery serves it now.
+func (n *node) currentEndpoint() *endpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.endpoints[len(n.endpoints)-1]
 }
 
-// settings are the settings of a balancer, in the form of the operators' configuration.
-const settings = `{"allowed":{"tryLimit":%d,"connectTimeout":%d,"retryAfter":true,"probing":false},"discovery":%q,"tick":4000000,"siblings":%d,
+// settingsFormat are the settingsFormat of a balancer, in the form of the operators' configuration.
+const settingsFormat = `{"allowed":{"tryLimit":%d,"connectTimeout":%d,"retryAfter":true,"probing":false},"discovery":%q,"tick":4000000,"siblings":%d,
 "familyInfo":{"groups":true,"mode":%q,"messageAim":[250000000,250000000,250000000]},
 "grades":[%s],
 "invariants":{"askWithin":%d,"coldFrom":0.15,"fall":1000000000,"overloadFactor":3,"stopSendingWithin":%d,"warmAfter":22000000000}}`
 
-// window is for how long the hosts discard the repeats of a keyed request.
-const window = 2 * time.Second
+// dedupWindow is for how long the hosts discard the repeats of a keyed request.
+const dedupWindow = 2 * time.Second
 
 // config is the text of its configuration.
 func (n *node) config() string {
 	w, s := n.world, n.world.script
-	grace, attempts, keyed, plant := s.Grace, s.MaxAttempts, window, w.options.Plant
+	grace, attempts, dedup, plant := s.Grace, s.MaxAttempts, dedupWindow, w.options.Plant
 	switch plant {
 	case LongerGrace:
 		grace += time.Second
 	case MoreAttempts:
 		attempts += 2
 	case LongerWindow:
-		keyed += 3 * time.Second
+		dedup += 3 * time.Second
 	}
 	var grades []string
 	for _, effect := range []string{"safe", "keyed", "unsafe"} {
-		told := effect
+		configuredEffect := effect
 		if plant == SafeClasses {
-			told = "safe"
+			configuredEffect = "safe"
 		}
 		grades = append(grades, fmt.Sprintf(`{"name":%q,"aim":%d,"deadline":%d,"effect":%q,"dedupScope":"all","repeatWindow":%d}`,
-			effect, s.Aim, s.Deadline, told, keyed))
+			effect, s.Aim, s.Deadline, configuredEffect, dedup))
 	}
 	discovery, mode := "subscribe", "pass"
 	if s.Pushed {
@@ -105,9 +105,9 @@
 	if s.Proxy {
 		mode = "proxy"
 	}
-	set := fmt.Sprintf(settings, attempts, s.Connect, discovery, s.Balancers, mode, strings.Join(grades, ","), s.AskWithin, grace)
+	settings := fmt.Sprintf(settingsFormat, attempts, s.Connect, discovery, s.Balancers, mode, strings.Join(grades, ","), s.AskWithin, grace)
 	return fmt.Sprintf(`{"name":%q,"listen":%q,"discovery":%q,"seed":"%x","limits":{"cores":1,"memory_mb":192,"sockets":%d},"known":%s,"settings":%s}`,
-		n.name, n.listen, n.current().address(), s.Seed+uint64(n.number)+1, s.Sockets, w.list.FullList(n.known), set)
+		n.name, n.listen, n.currentEndpoint().address(), s.Seed+uint64(n.number)+1, s.Sockets, w.list.FullList(n.knownRevision), settings)
 }
 
 func (n *node) configPath() string { return filepath.Join(n.folder, "config.json") }
@@ -119,7 +119,7 @@
 		return err
 	}
 	w.mu.Lock()
-	n.known = w.revisionAt(w.now() - start - knownAge)
+	n.knownRevision = w.revisionAt(w.now() - start - knownAge)
 	text := n.config()
 	w.mu.Unlock()
 	if err := os.WriteFile(n.configPath(), []byte(text), 0o600); err != nil {
@@ -139,15 +139,15 @@
 	done, process := n.done, n.process
 	n.mu.Unlock()
 	w.mu.Lock()
-	n.heard, n.told = false, 0
-	w.audit.Started(n.number, w.now(), n.known)
-	w.note(Event{Node: n.name, What: fmt.Sprintf("process %d starts with list revision %d", process, hostlist.FirstRevision+n.known)})
+	n.answered, n.answeredRevision = false, 0
+	w.audit.Started(n.number, w.now(), n.knownRevision)
+	w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("process %d starts with list revision %d", process, hostlist.FirstRevision+n.knownRevision)})
 	w.mu.Unlock()
 	if err := cmd.Start(); err != nil {
 		return err
 	}
 	w.group.Go(func() { n.await(cmd, log, done, process) })
-	w.group.Go(func() { n.front(process) })
+	w.group.Go(func() { n.awaitReady(process) })
 	return nil
 }
 
@@ -157,51 +157,51 @@
 	close(done)
 	_ = log.Close()
 	n.mu.Lock()
-	unasked := n.killedAt == 0 && n.sigtermAt == 0 && n.process == process
+	unexpected := n.killedAt == 0 && n.sigtermAt == 0 && n.process == process
 	n.mu.Unlock()
 	w := n.world
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	w.note(Event{Node: n.name, What: fmt.Sprintf("process %d has ended: %v", process, err)})
-	if unasked && w.ctx.Err() == nil {
-		w.broke(Break{Rule: "crash", At: w.now() - start, Node: n.name, What: fmt.Sprintf("process %d ended: %v", process, err)})
+	w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("process %d has ended: %v", process, err)})
+	if unexpected && w.ctx.Err() == nil {
+		w.recordViolation(Break{Rule: "crash", At: w.now() - start, Node: n.name, What: fmt.Sprintf("process %d ended: %v", process, err)})
 	}
 }
 
-// readyWithin is how soon a process has to answer the front.
-const readyWithin = 10 * time.Second
+// readyTimeout is how soon a process has to answer the front.
+const readyTimeout = 10 * time.Second
 
-// front takes in a process once it has answered PING with PONG.
-func (n *node) front(process int) {
+// awaitReady takes in a process once it has answered PING with PONG.
+func (n *node) awaitReady(process int) {
 	w := n.world
-	due := w.now() + readyWithin
-	for w.now() < due && n.runs(process) && w.ctx.Err() == nil {
-		if n.pings() {
+	due := w.now() + readyTimeout
+	for w.now() < due && n.isRunning(process) && w.ctx.Err() == nil {
+		if n.answersPing() {
 			n.mu.Lock()
-			n.serves = n.process == process && n.sigtermAt == 0 && n.killedAt == 0
+			n.inRotation = n.process == process && n.sigtermAt == 0 && n.killedAt == 0
 			n.mu.Unlock()
 			w.mu.Lock()
-			w.note(Event{Node: n.name, What: fmt.Sprintf("process %d is ready", process)})
+			w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("process %d is ready", process)})
 			w.mu.Unlock()
 			return
 		}
 		w.sleep(20 * time.Millisecond)
 	}
-	if w.ctx.Err() == nil && n.runs(process) {
+	if w.ctx.Err() == nil && n.isRunning(process) {
 		w.mu.Lock()
-		w.broke(Break{Rule: "ready", At: w.now() - start, Node: n.name, What: "not ready within 10 s"})
+		w.recordViolation(Break{Rule: "ready", At: w.now() - start, Node: n.name, What: "not ready within 10 s"})
 		w.mu.Unlock()
 	}
 }
 
-// runs tells whether a process runs and was not told to end.
-func (n *node) runs(process int) bool {
+// isRunning tells whether a process isRunning and was not told to end.
+func (n *node) isRunning(process int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process == process && n.sigtermAt == 0 && n.killedAt == 0
 }
 
-func (n *node) pings() bool {
+func (n *node) answersPing() bool {
 	c, err := net.DialTimeout("tcp", n.listen, time.Second)
 	if err != nil {
 		return false
@@ -220,7 +220,7 @@
 func (n *node) kill() {
 	n.mu.Lock()
 	cmd, done := n.cmd, n.done
-	n.serves = false
+	n.inRotation = false
 	if n.killedAt == 0 {
 		n.killedAt = n.world.now()
 	}
--- a/internal/lab/soak/requests.go
+++ b/internal/lab/soak/requests.go
@@ -11,19 +11,19 @@
 
 // requestRecord is all that was seen of one client's request.
 type requestRecord struct {
-	id       string
-	script   drainsearch.Request
-	node     *node
-	process  int
-	asked    time.Duration // its last byte was written; 0 before
-	left     time.Duration // its client went; 0: it stayed
-	answered time.Duration
-	answer   string // the first line that came
-	more     string // a further final answer
-	ended    time.Duration
-	excused  string // why its end without an answer breaks no rule
-	lines    int
-	attempts []*attempt
+	id           string
+	script       drainsearch.Request
+	node         *node
+	process      int
+	sentAt       time.Duration // its last byte was written; 0 before
+	leftAt       time.Duration // its client went; 0: it stayed
+	answeredAt   time.Duration
+	answer       string // the first line that came
+	secondAnswer string // a further final answer
+	endedAt      time.Duration
+	excuse       string // why its end without an answer breaks no rule
+	lines        int
+	attempts     []*attempt
 }
 
 // attempt is one attempt at a host.
@@ -31,26 +31,26 @@
 	request   *requestRecord
 	host      *host
 	conn      net.Conn
-	began     time.Duration // its first byte was read
-	ended     time.Duration // never, while it is out
+	beganAt   time.Duration // its first byte was read
+	endedAt   time.Duration // never, while it is out
 	result    attemptResult
 	receipt   string
-	hostEnded bool // the host ended, or ceased to serve, what stood
+	disturbed bool // the host ended, or ceased to serve, what stood
 }
 
 type attemptResult int
 
 const (
-	resultOut attemptResult = iota
-	resultNeverRan
-	resultMayHaveRun
-	resultStands
+	resultPending attemptResult = iota
+	resultNotExecuted
+	resultMaybeExecuted
+	resultEstablished
 )
 
-func (q *requestRecord) sent() bool { return q.asked > 0 }
+func (q *requestRecord) sent() bool { return q.sentAt > 0 }
 
-// answerWord is the first word of the answer.
-func (q *requestRecord) answerWord() string {
+// firstAnswerWord is the first word of the answer.
+func (q *requestRecord) firstAnswerWord() string {
 	word, _, _ := strings.Cut(q.answer, " ")
 	if word == "" {
 		return "none"
@@ -66,8 +66,8 @@
 	return drainsearch.Up
 }
 
-// ask notes a request that is about to be sent.
-func (w *world) ask(n *node, name string, script drainsearch.Request) *requestRecord {
+// newRequest notes a request that is about to be sent.
+func (w *world) newRequest(n *node, name string, script drainsearch.Request) *requestRecord {
 	n.mu.Lock()
 	process := n.process
 	n.mu.Unlock()
@@ -78,19 +78,19 @@
 	return q
 }
 
-// attempt notes the first byte of an attempt, and judges it; nil if it is of no request.
-func (w *world) attempt(h *host, c net.Conn, id string, at time.Duration) *attempt {
+// recordAttempt notes the first byte of an recordAttempt, and judges it; nil if it is of no request.
+func (w *world) recordAttempt(h *host, c net.Conn, id string, at time.Duration) *attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
 	q := w.requests[id]
 	if q == nil {
-		w.broke(Break{Rule: "malformed", At: at - start, Host: h.listed.ID, Request: id, What: "an attempt for a request that nobody sent"})
+		w.recordViolation(Break{Rule: "malformed", At: at - start, Host: h.listed.ID, Request: id, What: "an attempt for a request that nobody sent"})
 		return nil
 	}
-	a := &attempt{request: q, host: h, conn: c, began: at, ended: never}
+	a := &attempt{request: q, host: h, conn: c, beganAt: at, endedAt: never}
 	a.receipt = fmt.Sprintf("%s.%d", id, len(q.attempts))
 	q.attempts = append(q.attempts, a)
-	w.note(Event{Node: q.node.name, Host: h.listed.ID, Request: id, What: fmt.Sprintf("attempt %d", len(q.attempts))})
+	w.recordEvent(Event{Node: q.node.name, Host: h.listed.ID, Request: id, What: fmt.Sprintf("attempt %d", len(q.attempts))})
 	w.judgeFirstByte(a)
 	select {
 	case q.node.attempted <- struct{}{}:
@@ -99,28 +99,28 @@
 	return a
 }
 
-// over notes that an attempt is over.
-func (w *world) over(a *attempt, result attemptResult) {
+// attemptEnded notes that an attempt is attemptEnded.
+func (w *world) attemptEnded(a *attempt, result attemptResult) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if a.ended == never {
-		a.ended = w.now()
+	if a.endedAt == never {
+		a.endedAt = w.now()
 	}
-	if a.result != resultStands {
+	if a.result != resultEstablished {
 		a.result = result
 	}
 }
 
-// stands notes that an attempt has brought a connection up; false if the run is over.
-func (w *world) stands(a *attempt) bool {
+// attemptEstablished notes that an attempt has brought a connection up; false if the run is over.
+func (w *world) attemptEstablished(a *attempt) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	a.result = resultStands
+	a.result = resultEstablished
 	return w.ctx.Err() == nil
 }
 
-// malformed notes a first line that no client sent in that form.
-func (w *world) malformed(h *host, line string) {
+// recordMalformed notes a first line that no client sent in that form.
+func (w *world) recordMalformed(h *host, line string) {
 	if line == "" || w.ctx.Err() != nil {
 		return
 	}
@@ -129,5 +129,5 @@
 	if !strings.HasSuffix(line, "\n") { // the balancer gave it up in its midst
 		return
 	}
-	w.broke(Break{Rule: "malformed", At: w.now() - start, Host: h.listed.ID, What: fmt.Sprintf("first line %q", line)})
+	w.recordViolation(Break{Rule: "malformed", At: w.now() - start, Host: h.listed.ID, What: fmt.Sprintf("first line %q", line)})
 }
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -46,29 +46,29 @@
 	Events   []Event
 }
 
-// note adds to the record of the run; the lock is held.
-func (w *world) note(e Event) {
+// recordEvent adds to the record of the run; the lock is held.
+func (w *world) recordEvent(e Event) {
 	e.At = w.now() - start
 	w.events = append(w.events, e)
 }
 
-// broke notes a broken rule; the lock is held.
-func (w *world) broke(b Break) {
-	w.breaks = append(w.breaks, b)
-	w.note(Event{Node: b.Node, Host: b.Host, Request: b.Request, What: "BROKEN " + b.Rule + ": " + b.What})
+// recordViolation notes a broken rule; the lock is held.
+func (w *world) recordViolation(b Break) {
+	w.violations = append(w.violations, b)
+	w.recordEvent(Event{Node: b.Node, Host: b.Host, Request: b.Request, What: "BROKEN " + b.Rule + ": " + b.What})
 }
 
 // result is what the run has shown.
 func (w *world) result() *Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := &Result{Breaks: w.breaks, Answers: map[string]int{}, Late: w.jitter.worst(0, never), Events: w.events}
+	r := &Result{Breaks: w.violations, Answers: map[string]int{}, Late: w.jitter.longest(0, never), Events: w.events}
 	for _, q := range w.requests {
 		if !q.sent() {
 			continue
 		}
 		r.Requests++
-		r.Answers[q.answerWord()]++
+		r.Answers[q.firstAnswerWord()]++
 		r.Attempts += len(q.attempts)
 		r.Lines += q.lines
 	}
--- a/internal/lab/soak/script.go
+++ b/internal/lab/soak/script.go
@@ -23,8 +23,8 @@
 	Sockets      int           // file descriptors of a balancer; 0: no limit of its own
 	Terminations []Termination
 	HostFaults   []HostFault
-	Crowds       []Crowd
-	Resting      []Resting
+	Floods       []ConnectionFlood `json:"Crowds"`
+	IdleClients  []IdleClient      `json:"Resting"`
 	Pauses       []Pause
 	// GoneStaysUp has hosts that have gone from the list still take connections, so that a request to one is seen.
 	GoneStaysUp bool
@@ -42,15 +42,15 @@
 
 // The kinds of trouble at hosts.
 const (
-	HostHangs  HostFaultKind = iota // it takes connections and lines, and answers nothing
-	HostResets                      // it resets all that it holds, at the start of the span
-	HostDelays                      // each answer comes up to 300 ms late
-	HostPieces                      // answers come in pieces of a byte
-	hostFaultKinds
+	HostHangs     HostFaultKind = iota // it takes connections and lines, and answers nothing
+	HostResets                         // it resets all that it holds, at the start of the span
+	HostDelays                         // each answer comes up to 300 ms late
+	HostFragments                      // answers come in pieces of a byte
+	hostFaultKindCount
 
-	// HostLate has the host take no connections, so that one that is asked for meanwhile comes up a second after that. Only runs
+	// HostNotAccepting has the host take no connections, so that one that is asked for meanwhile comes up a second after that. Only runs
 	// of crossings have it.
-	HostLate
+	HostNotAccepting
 )
 
 // HostFault is trouble at one host.
@@ -60,18 +60,18 @@
 	From, To time.Duration
 }
 
-// Crowd is idle connections to one balancer, which say nothing.
-type Crowd struct {
+// ConnectionFlood is idle connections to one balancer, which say nothing.
+type ConnectionFlood struct {
 	Balancer    int
 	From, To    time.Duration
 	Connections int
 }
 
-// Resting is a client that connects, says nothing, and sends its request later on that connection.
-type Resting struct {
-	Balancer int
-	At       time.Duration // it connects
-	Asks     time.Duration // it sends its request, so long after that
+// IdleClient is a client that connects, says nothing, and sends its request later on that connection.
+type IdleClient struct {
+	Balancer     int
+	At           time.Duration // it connects
+	RequestAfter time.Duration `json:"Asks"` // it sends its request, so long after that
 }
 
 // Pause stops a process and lets it go on (SIGSTOP, SIGCONT).
@@ -103,7 +103,7 @@
 	LongerWindow       // it takes the window of repeats as 3 s longer
 	EarlyKill          // it is killed 0.1 s after SIGTERM
 	SafeClasses        // it takes all classes for ones that may be repeated
-	plants
+	plantCount
 )
 
 // Names of the planted faults.
@@ -115,7 +115,7 @@
 
 // Plants are all planted faults.
 func Plants() (all []Plant) {
-	for p := LongerGrace; p < plants; p++ {
+	for p := LongerGrace; p < plantCount; p++ {
 		all = append(all, p)
 	}
 	return all
@@ -134,14 +134,14 @@
 
 // Bounds of a script: the machine's.
 const (
-	mostBalancers = 30
-	mostHosts     = 100
-	longestRun    = 10 * time.Minute
+	maxBalancers = 30
+	maxHosts     = 100
+	maxLength    = 10 * time.Minute
 )
 
 // check tells what of a script is out of range.
 func (s *Script) check() error {
-	if s.Balancers < 1 || s.Balancers > mostBalancers || s.Hosts < 1 || s.Hosts > mostHosts || s.Length <= 0 || s.Length > longestRun ||
+	if s.Balancers < 1 || s.Balancers > maxBalancers || s.Hosts < 1 || s.Hosts > maxHosts || s.Length <= 0 || s.Length > maxLength ||
 		s.MaxAttempts < 1 || s.Deadline <= 0 {
 		return errors.New("script: balancers, hosts, length, attempts or deadline out of range")
 	}
@@ -177,10 +177,10 @@
 	for _, t := range s.Terminations {
 		all = append(all, t.Balancer)
 	}
-	for _, c := range s.Crowds {
+	for _, c := range s.Floods {
 		all = append(all, c.Balancer)
 	}
-	for _, r := range s.Resting {
+	for _, r := range s.IdleClients {
 		all = append(all, r.Balancer)
 	}
 	for _, p := range s.Pauses {
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -11,7 +11,7 @@
 func (n *node) signal(s syscall.Signal) (process int, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
-	if n.cmd == nil || n.cmd.Process == nil || n.killedAt > 0 || n.sigtermAt > 0 || !n.serves {
+	if n.cmd == nil || n.cmd.Process == nil || n.killedAt > 0 || n.sigtermAt > 0 || !n.inRotation {
 		return 0, false
 	}
 	if s == syscall.SIGTERM {
@@ -20,27 +20,27 @@
 	return n.process, n.cmd.Process.Signal(s) == nil
 }
 
-// note adds what happens to this balancer to the record of the run.
-func (n *node) note(format string, args ...any) {
+// recordEvent adds what happens to this balancer to the record of the run.
+func (n *node) recordEvent(format string, args ...any) {
 	n.world.mu.Lock()
 	defer n.world.mu.Unlock()
-	n.world.note(Event{Node: n.name, What: fmt.Sprintf(format, args...)})
+	n.world.recordEvent(Event{Node: n.name, What: fmt.Sprintf(format, args...)})
 }
 
-// leavesAfter is how long after a move the old discovery ends the connections that it has.
-const leavesAfter = 1500 * time.Millisecond
+// oldDiscoveryLinger is how long after a move the old discovery ends the connections that it has.
+const oldDiscoveryLinger = 1500 * time.Millisecond
 
 // reload replaces the configuration and sends SIGHUP; where discovery moves, the new file names another address.
 func (n *node) reload(moves bool) {
 	w := n.world
 	n.mu.Lock()
-	ready := n.serves && n.sigtermAt == 0 && n.killedAt == 0
+	ready := n.inRotation && n.sigtermAt == 0 && n.killedAt == 0
 	n.mu.Unlock()
 	if !ready { // no SIGHUP comes before a process is ready
 		return
 	}
 	if moves {
-		old := n.current()
+		old := n.currentEndpoint()
 		e, err := n.newEndpoint()
 		if err != nil {
 			return
@@ -48,7 +48,7 @@
 		n.mu.Lock()
 		n.endpoints = append(n.endpoints, e)
 		n.mu.Unlock()
-		w.group.Go(func() { old.leave(leavesAfter) })
+		w.group.Go(func() { old.shutDown(oldDiscoveryLinger) })
 	}
 	w.mu.Lock()
 	text := n.config()
@@ -61,20 +61,20 @@
 	w.mu.Lock()
 	if moves {
 		w.audit.Reloaded(n.number, w.now())
-		n.heard = false
+		n.answered = false
 	}
 	w.mu.Unlock()
-	n.note("SIGHUP, discovery moves: %v", moves)
+	n.recordEvent("SIGHUP, discovery moves: %v", moves)
 	_, _ = n.signal(syscall.SIGHUP)
 }
 
 // Of a planned restart: for how long clients still come, how long after the longest deadline the process may be killed, and
 // what the deadline counts as at the most.
 const (
-	frontNotices    = 300 * time.Millisecond
-	killMargin      = 700 * time.Millisecond
-	longestDeadline = 3 * time.Second
-	earlyKill       = 100 * time.Millisecond // of the planted fault
+	frontReaction = 300 * time.Millisecond
+	killMargin    = 700 * time.Millisecond
+	maxDeadline   = 3 * time.Second
+	earlyKill     = 100 * time.Millisecond // of the planted fault
 )
 
 // terminate sends SIGTERM, SIGKILL at the earliest, and starts a new process.
@@ -83,21 +83,21 @@
 	if _, ok := n.signal(syscall.SIGTERM); !ok {
 		return
 	}
-	n.note("SIGTERM")
-	killAt := w.now() + min(w.script.Deadline, longestDeadline) + killMargin
+	n.recordEvent("SIGTERM")
+	killAt := w.now() + min(w.script.Deadline, maxDeadline) + killMargin
 	if w.options.Plant == EarlyKill {
 		killAt = w.now() + earlyKill
 	}
-	if !w.sleep(frontNotices) {
+	if !w.sleep(frontReaction) {
 		return
 	}
 	n.mu.Lock()
-	n.serves = false
+	n.inRotation = false
 	done := n.done
 	n.mu.Unlock()
 	select {
 	case <-time.After(killAt - w.now()):
-		n.note("SIGKILL, %v after SIGTERM", killMargin+min(w.script.Deadline, longestDeadline))
+		n.recordEvent("SIGKILL, %v after SIGTERM", killMargin+min(w.script.Deadline, maxDeadline))
 		n.kill()
 	case <-done:
 		n.mu.Lock()
@@ -114,7 +114,7 @@
 	if _, ok := n.signal(syscall.SIGSTOP); !ok {
 		return
 	}
-	n.note("SIGSTOP for %v", d)
+	n.recordEvent("SIGSTOP for %v", d)
 	n.world.sleep(d)
 	select {
 	case <-n.attempted:
@@ -127,8 +127,8 @@
 	}
 }
 
-// mostBetweenStops is how long a process that is stopped twice runs between at the most.
-const mostBetweenStops = 50 * time.Millisecond
+// maxBetweenPauses is how long a process that is stopped twice runs between at the most.
+const maxBetweenPauses = 50 * time.Millisecond
 
 // pauseTwice stops the process, and again once it has written an attempt or has had the time to. Danger: one that got no processor
 // time between would have been held up for longer than the pages allow, between its last look at a client and its write.
@@ -136,7 +136,7 @@
 	n.pause(d)
 	select {
 	case <-n.attempted:
-	case <-time.After(mostBetweenStops):
+	case <-time.After(maxBetweenPauses):
 	case <-n.world.ctx.Done():
 		return
 	}
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -26,26 +26,26 @@
 	group   sync.WaitGroup
 	jitter  *jitter
 
-	mu       sync.Mutex
-	audit    *drainaudit.Audit
-	list     *hostlist.History
-	news     chan struct{} // closed at each change of the list
-	hosts    []*host
-	nodes    []*node
-	requests map[string]*requestRecord
-	breaks   []Break
-	events   []Event
+	mu          sync.Mutex
+	audit       *drainaudit.Audit
+	list        *hostlist.History
+	listChanged chan struct{} // closed at each change of the list
+	hosts       []*host
+	nodes       []*node
+	requests    map[string]*requestRecord
+	violations  []Break
+	events      []Event
 }
 
-// runs counts the runs of this program.
-var runs atomic.Int64
+// runCount counts the runCount of this program.
+var runCount atomic.Int64
 
 // Play plays a script.
 func Play(script *Script, options Options) (*Result, error) {
 	if err := os.MkdirAll(options.Folder, 0o700); err != nil {
 		return nil, err
 	}
-	w := &world{number: int(runs.Add(1)), script: script, options: options, origin: time.Now(), news: make(chan struct{}), requests: map[string]*requestRecord{},
+	w := &world{number: int(runCount.Add(1)), script: script, options: options, origin: time.Now(), listChanged: make(chan struct{}), requests: map[string]*requestRecord{},
 		audit: drainaudit.New(drainaudit.Rules{Pushed: script.Pushed, Grace: script.Grace, AskWithin: script.AskWithin})}
 	w.ctx, w.stop = context.WithCancel(context.Background())
 	w.jitter = newJitter(w)
@@ -53,7 +53,7 @@
 	if err := w.startHosts(); err != nil {
 		return nil, err
 	}
-	w.firstChanges()
+	w.applyInitialChanges()
 	for _, f := range script.Faults {
 		if f.Kind == drainsearch.Outage {
 			w.audit.Outage(start+f.From, start+f.To)
@@ -83,14 +83,14 @@
 	s := w.script
 	for _, c := range s.Changes {
 		if c.At > 0 {
-			w.at(c.At, func() { w.change(c) })
+			w.at(c.At, func() { w.applyChange(c) })
 		}
 	}
 	for _, f := range s.Faults {
-		w.at(f.From, func() { w.strike(f) })
+		w.at(f.From, func() { w.applyFault(f) })
 	}
 	for _, f := range s.HostFaults {
-		w.at(f.From, func() { w.hosts[f.Host].strike(f) })
+		w.at(f.From, func() { w.hosts[f.Host].applyFault(f) })
 	}
 	for _, r := range s.Reloads {
 		w.at(r.At, func() { w.nodes[r.Balancer].reload(r.Moves) })
@@ -110,22 +110,22 @@
 			w.nodes[p.Balancer].pause(p.For)
 		})
 	}
-	for _, c := range s.Crowds {
-		w.at(c.From, func() { w.crowd(c) })
+	for _, c := range s.Floods {
+		w.at(c.From, func() { w.playFlood(c) })
 	}
 	for i, r := range s.Requests {
-		w.at(r.At, func() { w.client(i, r) })
+		w.at(r.At, func() { w.runClient(i, r) })
 	}
-	for i, r := range s.Resting {
-		w.at(r.At, func() { w.restingClient(i, r) })
+	for i, r := range s.IdleClients {
+		w.at(r.At, func() { w.runIdleClient(i, r) })
 	}
 }
 
 // at has something done at a moment of the script, unless the run has ended by then.
-func (w *world) at(when time.Duration, do func()) {
+func (w *world) at(when time.Duration, action func()) {
 	w.group.Go(func() {
 		if w.sleepUntil(start + when) {
-			do()
+			action()
 		}
 	})
 }
@@ -149,8 +149,8 @@
 	now := w.now()
 	for i := range w.script.Faults {
 		f := &w.script.Faults[i]
-		mine := f.Balancer < 0 || f.Balancer == balancer
-		if f.Kind == kind && mine && start+f.From <= now && now < start+f.To {
+		applies := f.Balancer < 0 || f.Balancer == balancer
+		if f.Kind == kind && applies && start+f.From <= now && now < start+f.To {
 			return f
 		}
 	}
@@ -164,7 +164,7 @@
 		n.kill()
 	}
 	for _, h := range w.hosts {
-		h.halt()
+		h.stop()
 	}
 	w.group.Wait()
 }
