--- a/internal/lab/soak/answers.go
+++ b/internal/lab/soak/answers.go
@@ -14,7 +14,7 @@
 	"tealtiller/internal/lab/hostlist"
 )
 
-// parseCall reads a call.
+// parseCall returns the revision and the maximum wait of a call; the revision is -1 for a call for the complete list.
 func parseCall(request *http.Request) (since int, wait time.Duration) {
 	query := request.URL.Query()
 	revision, err := strconv.Atoi(query.Get("since"))
@@ -25,14 +25,14 @@
 	return max(revision-hostlist.FirstRevision, 0), time.Duration(ms) * time.Millisecond
 }
 
-// outcome is what becomes of a call.
+// outcome is how a call ends.
 type outcome int
 
 const (
 	outcomeAnswer outcome = iota
 	outcomeRefuse
-	outcomeReset     // its connection is reset
-	outcomeAbandoned // the balancer ended it, or the run is over
+	outcomeReset     // its connection is reset by discovery
+	outcomeAbandoned // the balancer abandoned it, or the run is over
 )
 
 // awaitAnswer holds a call until discovery answers it.
@@ -54,7 +54,7 @@
 		w.mu.Lock()
 		revision, listChanged := w.list.LatestRevision(), w.listChanged
 		w.mu.Unlock()
-		if since < 0 || since < revision { // news from before a silence is written
+		if since < 0 || since < revision { // changes from before a silence are still written
 			return outcomeAnswer
 		}
 		select {
@@ -75,12 +75,12 @@
 	}
 }
 
-// holdFor holds a call for a time and then does what is told, unless its connection falls silent or ends before.
+// holdFor holds a call for a time and then returns the given outcome, unless the connection falls silent or ends first.
 func (d *discoveryConn) holdFor(after time.Duration, disconnected <-chan struct{}, then outcome) outcome {
 	select {
 	case <-time.After(after):
 		select {
-		case <-d.silent: // for good
+		case <-d.silent: // the call never ends by itself
 			return d.holdFor(never, disconnected, then)
 		default:
 			return then
@@ -92,15 +92,16 @@
 	}
 }
 
-// closeOutcome tells which side ended a connection.
+// closeOutcome reports which side ended a connection.
 func (d *discoveryConn) closeOutcome() outcome {
 	if _, err := d.Write(nil); errors.Is(err, net.ErrClosed) {
-		return outcomeReset // by us
+		return outcomeReset // by discovery
 	}
 	return outcomeAbandoned
 }
 
-// writeAnswer answers a call with what is new, or with what trouble makes of it; the lock of the run is held.
+// writeAnswer answers a call with the changes since its revision, or with what an active fault makes of them. The
+// caller holds the lock of the run.
 func (e *endpoint) writeAnswer(d *discoveryConn, call *drainaudit.Call, since int) bool {
 	w, n := e.node.world, e.node
 	body, revision, readable := e.answerBody(since)
@@ -112,16 +113,16 @@
 	if readable {
 		n.answered, n.answeredRevision = true, revision
 		w.audit.Answered(n.number, call, w.now(), revision)
-		w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("is answered by discovery: revision %d", hostlist.FirstRevision+revision)})
+		w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("receives an answer from discovery: revision %d", hostlist.FirstRevision+revision)})
 	} else {
 		call.Failed(w.now())
-		w.recordEvent(Event{Node: n.name, What: "is answered by discovery what makes no sense"})
+		w.recordEvent(Event{Node: n.name, What: "receives an unreadable answer from discovery"})
 	}
 	_, err := fmt.Fprintf(d, "HTTP/1.1 200 OK\r\n%sContent-Length: %d\r\n\r\n%s", header, len(body), body)
 	return err == nil && !closes
 }
 
-// answerBody is the text of an answer, the revision that it tells, and whether it can be read.
+// answerBody returns the body of an answer, the revision in it, and whether the balancer can use it.
 func (e *endpoint) answerBody(since int) (body string, revision int, readable bool) {
 	w, n := e.node.world, e.node
 	fault := func(kind drainsearch.FaultKind) bool { return w.fault(kind, n.number) != nil }
--- a/internal/lab/soak/changes.go
+++ b/internal/lab/soak/changes.go
@@ -9,7 +9,7 @@
 	"tealtiller/internal/lab/hostlist"
 )
 
-// applyInitialChanges are those from before the first process.
+// applyInitialChanges applies the changes from before the first process starts.
 func (w *world) applyInitialChanges() {
 	for _, c := range w.script.Changes {
 		if c.At <= 0 {
@@ -18,8 +18,8 @@
 	}
 }
 
-// applyChange plays a applyChange at its host and has discovery know it. An agent learns nothing in an outage, and all at its end, in
-// the order in which it happened.
+// applyChange applies a change to its host and publishes it to discovery. In an outage an agent receives nothing; it
+// receives all changes at the end of it, in the order in which they happened.
 func (w *world) applyChange(c drainsearch.Change) {
 	h := w.hosts[c.Host]
 	address, started := "", int64(0)
@@ -37,10 +37,11 @@
 	}
 }
 
-// outageSpread spreads what an agent learns at the end of an outage over some milliseconds, by when it happened.
+// outageSpread is by how much the spacing of changes shrinks when an agent receives them at the end of an outage: they
+// arrive within some milliseconds and stay in order.
 const outageSpread = 1000
 
-// publish adds a change to the list; a host that is back in service has an address and a start.
+// publish adds a change to the list; the address and the start time apply to a host that returns to service.
 func (w *world) publish(c drainsearch.Change, address string, startedMS int64) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -61,7 +62,7 @@
 	w.listChanged = make(chan struct{})
 }
 
-// revisionAt is the revision that discovery had at a moment of the script.
+// revisionAt returns the revision that discovery had at a time of the script.
 func (w *world) revisionAt(at time.Duration) (revision int) {
 	for _, c := range w.script.Changes {
 		if c.At <= at && revision < w.list.LatestRevision() {
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -12,28 +12,28 @@
 	"tealtiller/internal/lab/drainsearch"
 )
 
-// runClient plays one runClient of the script.
+// runClient plays one client of the script.
 func (w *world) runClient(index int, script drainsearch.Request) {
 	n := w.nodes[script.Balancer]
 	if !n.acceptsClients() {
 		return
 	}
 	c, err := net.DialTimeout("tcp", n.listen, script.TTL)
-	if err != nil { // the front would not have chosen it
+	if err != nil { // the front would not have chosen this balancer
 		return
 	}
 	defer c.Close()
 	w.sendRequest(c, w.newRequest(n, fmt.Sprint(index), script))
 }
 
-// acceptsClients tells whether the front sends a balancer new connections.
+// acceptsClients reports whether the front sends new connections to the balancer.
 func (n *node) acceptsClients() bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.inRotation
 }
 
-// runIdleClient connects, rests, and asks later, whatever has become of the balancer meanwhile.
+// runIdleClient connects, waits, and sends its request later, whatever has happened to the balancer in between.
 func (w *world) runIdleClient(index int, idle IdleClient) {
 	n := w.nodes[idle.Balancer]
 	if !n.acceptsClients() {
@@ -48,7 +48,7 @@
 	q := w.newRequest(n, fmt.Sprintf("rest%d", index), script)
 	r := bufio.NewReader(c)
 	_ = c.SetReadDeadline(time.Now().Add(idle.RequestAfter))
-	if _, err := r.Peek(1); !timedOut(err) { // it was told to go, or ended
+	if _, err := r.Peek(1); !timedOut(err) { // the balancer sent a line or closed the connection
 		return
 	}
 	w.sendRequest(c, q)
@@ -59,10 +59,10 @@
 	return errors.As(err, &t) && t.Timeout()
 }
 
-// answerSlack is how much later than its time a request's answer may come; later it is lost.
+// answerSlack is how much later than its deadline a request may be answered; an answer after that counts as lost.
 const answerSlack = 500 * time.Millisecond
 
-// sendRequest sends a request and reads what comes of it.
+// sendRequest sends a request and follows it to the end of its connection.
 func (w *world) sendRequest(c net.Conn, q *requestRecord) {
 	mid := ""
 	if q.script.MidFlow && !w.script.Proxy {
@@ -99,7 +99,7 @@
 	}
 }
 
-// leaveEarly has a client go before its answer.
+// leaveEarly closes the connection of a client that leaves before its answer.
 func (w *world) leaveEarly(c net.Conn, q *requestRecord) {
 	if !w.sleep(q.script.Leaves) {
 		return
@@ -115,7 +115,7 @@
 	}
 }
 
-// checkSecondAnswer reads whether a second answer follows a final one.
+// checkSecondAnswer records a second answer that follows a final one.
 func (w *world) checkSecondAnswer(c net.Conn, r *bufio.Reader, q *requestRecord) {
 	_ = c.SetReadDeadline(time.Now().Add(answerSlack))
 	if more, err := r.ReadString('\n'); err == nil {
@@ -125,14 +125,14 @@
 	}
 }
 
-// Of standing connections: how often a client sends a line, and how soon one has to bring something back, be ended or moved.
+// The pace of established connections.
 const (
-	lineInterval = 400 * time.Millisecond
-	maxLineDelay = time.Second
-	maxSilence   = 7 * time.Second
+	lineInterval = 400 * time.Millisecond // how often a client sends a line
+	maxLineDelay = time.Second            // an answer to a line that takes longer counts as held back
+	maxSilence   = 7 * time.Second        // without an answer, MOVE or end for this time a connection counts as silent
 )
 
-// useConnection uses a connection until it ends, whatever becomes of the balancer.
+// useConnection sends lines on an established connection until it ends, whatever happens to the balancer.
 func (w *world) useConnection(c net.Conn, r *bufio.Reader, q *requestRecord) {
 	for i := 0; w.ctx.Err() == nil; i++ {
 		_ = c.SetReadDeadline(time.Now().Add(lineInterval))
@@ -148,7 +148,7 @@
 	}
 }
 
-// sendLine sends a line and waits for what comes back.
+// sendLine sends a line and waits for the line that comes back.
 func (w *world) sendLine(c net.Conn, r *bufio.Reader, q *requestRecord, number int) (line string, err error) {
 	if _, err := fmt.Fprintf(c, "LINE %d\r\n", number); err != nil {
 		return "", err
@@ -167,7 +167,7 @@
 	return line, err
 }
 
-// connectionEnded judges the end of a standing connection.
+// connectionEnded judges the end of an established connection.
 func (w *world) connectionEnded(q *requestRecord, line string, err error) {
 	word, _, _ := strings.Cut(strings.TrimSpace(line), " ")
 	w.mu.Lock()
@@ -179,17 +179,17 @@
 		w.recordViolation(Break{Rule: "silent", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: "nothing came back for 7 s"})
 	case w.excuse(q, q.endedAt) != "" || w.hostDisturbed(q):
 	case err == nil:
-		w.recordViolation(Break{Rule: "answers", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("a standing connection got %q", line)})
+		w.recordViolation(Break{Rule: "answers", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("an established connection received %q", line)})
 	default:
 		w.recordViolation(Break{Rule: "lost", At: q.endedAt - start, Node: q.node.name, Request: q.id,
-			What: fmt.Sprintf("a standing connection was cut off without MOVE: %v", err)})
+			What: fmt.Sprintf("an established connection was cut off without MOVE: %v", err)})
 	}
 }
 
-// playFlood opens idle connections and keeps them.
+// playFlood opens idle connections and keeps them open.
 func (w *world) playFlood(flood ConnectionFlood) {
 	n := w.nodes[flood.Balancer]
-	n.recordEvent("a crowd of %d idle connections until %.3f", flood.Connections, flood.To.Seconds())
+	n.recordEvent("a flood of %d idle connections until %.3f", flood.Connections, flood.To.Seconds())
 	var conns []net.Conn
 	for range flood.Connections {
 		if c, err := net.DialTimeout("tcp", n.listen, time.Second); err == nil {
--- a/internal/lab/soak/crossings.go
+++ b/internal/lab/soak/crossings.go
@@ -9,11 +9,11 @@
 	"tealtiller/internal/lab/drainsearch"
 )
 
-// crossingsStream keeps these draws apart from others of the same seed.
+// crossingsStream separates these draws from others of the same seed.
 const crossingsStream = 48
 
-// Of a run of crossings: how long it lasts, and what its requests have, so that a connection that comes up a second late is still
-// waited for, and a request is still owed its answer as its balancer is killed.
+// The length of a run of crossings and the settings of its requests. They are long enough that a connection that comes
+// up a second late is still waited for, and that a request is still owed its answer when its balancer is killed.
 const (
 	crossingsLength   = 20 * time.Second
 	crossingsDeadline = 4 * time.Second
@@ -21,8 +21,9 @@
 	crossingsConnect  = 1500 * ms
 )
 
-// DrawCrossings makes the run of a seed in which events meet that Draw seldom has meet: connections to hosts come up as these
-// drain, clients leave in a burst while their balancer is stopped, and all hosts hang through a shutdown.
+// DrawCrossings returns the run of a seed in which events coincide that seldom do so in a run of Draw: connections to
+// hosts come up as the hosts drain, clients leave in a burst while their balancer is stopped, and all hosts hang during
+// a shutdown.
 func DrawCrossings(seed uint64) *Script {
 	rnd := randomSource{rand.New(rand.NewPCG(seed, crossingsStream))}
 	s := &Script{Script: drainsearch.Script{Seed: seed, Length: crossingsLength, Pushed: rnd.withProbability(0.4), Balancers: 1 + rnd.IntN(3), Hosts: 4 + rnd.IntN(3),
@@ -36,18 +37,18 @@
 	return s
 }
 
-// Of connections that come up late: the system asks again for one after lateBy, so those that are asked for within that time,
-// less the grace, before a drain come up once its grace is over.
+// Connections that come up late. The kernel retransmits a SYN after synRetryDelay, so a connection that is requested
+// within that time before a drain, less the grace, comes up once the grace of the drain is over.
 const (
 	synRetryDelay = time.Second
-	lateRequests  = 30
-	drainInterval = 2500 * ms
+	lateRequests  = 30        // for each drain
+	drainInterval = 2500 * ms // between two drains
 )
 
-// addLateConnections draws hosts that drain while connections to them are under way.
+// addLateConnections draws hosts that drain while connections to them are being established.
 func (rnd randomSource) addLateConnections(s *Script) {
 	at := rnd.between(2*time.Second, 3*time.Second)
-	for host := range s.Hosts - 2 { // some stay
+	for host := range s.Hosts - 2 { // some hosts stay in service
 		from := at - synRetryDelay + s.Grace + slack
 		s.Changes = append(s.Changes, drainsearch.Change{At: at, Host: host, Phase: drainaudit.Terminating})
 		s.HostFaults = append(s.HostFaults, HostFault{Kind: HostNotAccepting, Host: host, From: from - 100*ms, To: at - 10*ms})
@@ -58,17 +59,18 @@
 	}
 }
 
-// Of clients that leave in a burst: how many there are, how long after they ask their balancer is stopped, and how long after
-// they ask they leave. A stop in the moment between the last look at a client and the first byte is shorter than the time in
-// which an attempt may follow its client; what is written after the second one had another look, or is written without any.
+// Clients that leave in a burst. A stop between the last check of a client and the first byte is shorter than the time
+// for which an attempt may follow the end of its client; what is written after the second stop was checked once more,
+// or is written without any check.
 const (
 	burstClients       = 250
-	burstMaxPauseDelay = 25 * ms
-	burstLeaveDelay    = 35 * ms
-	burstPause         = 95 * ms
+	burstMaxPauseDelay = 25 * ms // latest stop of the balancer after the requests
+	burstLeaveDelay    = 35 * ms // time from the requests until the clients leave
+	burstPause         = 95 * ms // length of a stop
 )
 
-// addLeavingBursts draws many requests at once, whose clients leave while their balancer is stopped in the midst of them.
+// addLeavingBursts draws many requests at once, whose clients leave while their balancer is stopped in the middle of
+// them.
 func (rnd randomSource) addLeavingBursts(s *Script) {
 	for range 4 {
 		at, balancer := rnd.between(2*time.Second, s.Length-3*time.Second), rnd.IntN(s.Balancers)
@@ -81,8 +83,8 @@
 	}
 }
 
-// addHangingShutdown draws a planned restart through the whole of which all hosts hang, with requests that are open then. Where one
-// may be attempted once only it is still owed its answer as the process is killed.
+// addHangingShutdown draws a planned restart during all of which every host hangs, with requests that are open at that
+// time. With a single allowed attempt such a request is still owed its answer when the process is killed.
 func (rnd randomSource) addHangingShutdown(s *Script) {
 	at, balancer := rnd.between(8*time.Second, s.Length-7*time.Second), rnd.IntN(s.Balancers)
 	s.Terminations = append(s.Terminations, Termination{At: at, Balancer: balancer})
@@ -94,7 +96,7 @@
 	}
 }
 
-// drawRequest draws a plain drawRequest that a host answers as it comes.
+// drawRequest draws a plain request that a host answers with UP.
 func (rnd randomSource) drawRequest(s *Script, at time.Duration, balancer int) drainsearch.Request {
 	return drainsearch.Request{At: at, Balancer: balancer, Key: rnd.Uint64N(1 << 20), TTL: s.Deadline,
 		Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.Up}}
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -26,13 +26,13 @@
 type discoveryConn struct {
 	net.Conn
 	endpoint *endpoint
-	silent   chan struct{} // closed when nothing more may be written on it
+	silent   chan struct{} // closed when no more data may be written
 	once     sync.Once
 	mu       sync.Mutex
-	call     *drainaudit.Call // that is open
+	call     *drainaudit.Call // the open call
 }
 
-// listen makes an endpoint.
+// newEndpoint listens on a free port and serves the connections to it.
 func (n *node) newEndpoint() (*endpoint, error) {
 	l, err := net.Listen("tcp", "127.0.0.1:0")
 	if err != nil {
@@ -69,14 +69,14 @@
 	}
 }
 
-// shutDown takes no new connection any more and ends the open ones after a time: discovery has moved.
+// shutDown accepts no more connections and closes the open ones after a time, as discovery has moved.
 func (e *endpoint) shutDown(after time.Duration) {
 	_ = e.listener.Close()
 	e.node.world.sleep(after)
 	e.forEachConn(func(d *discoveryConn) { _ = d.Close() })
 }
 
-// forEachConn does something with every open connection.
+// forEachConn runs an action on each open connection.
 func (e *endpoint) forEachConn(action func(*discoveryConn)) {
 	e.mu.Lock()
 	defer e.mu.Unlock()
@@ -85,8 +85,8 @@
 	}
 }
 
-// serve answers the calls of a connection, one after the other. What the balancer sends is read beside, so that its end of
-// the connection is seen at once.
+// serve answers the calls of a connection one after the other. A separate goroutine reads from the balancer, so that
+// the end of the connection is noticed at once.
 func (e *endpoint) serve(d *discoveryConn) {
 	w := e.node.world
 	if w.fault(drainsearch.Outage, e.node.number) != nil && !w.script.Pushed {
@@ -109,7 +109,7 @@
 			}
 		}
 	})
-	defer func() { _ = d.Close() }() // ends the reader
+	defer func() { _ = d.Close() }() // ends the reading goroutine
 	for {
 		select {
 		case request := <-calls:
@@ -124,7 +124,7 @@
 	}
 }
 
-// refuseConnection resets a connection that discovery, being down, does not take.
+// refuseConnection resets a connection, as discovery is down.
 func (d *discoveryConn) refuseConnection() {
 	w, n := d.endpoint.node.world, d.endpoint.node
 	w.mu.Lock()
@@ -133,7 +133,7 @@
 	reset(d.Conn)
 }
 
-// handleCall answers one call; false if the connection is of no further use.
+// handleCall answers one call; it returns false if the connection is of no further use.
 func (e *endpoint) handleCall(d *discoveryConn, request *http.Request, disconnected <-chan struct{}) bool {
 	w, n := e.node.world, e.node
 	if w.options.Plant == LateCalls && !w.sleep(time.Second) {
@@ -165,7 +165,7 @@
 		reset(d.Conn)
 	case outcomeAbandoned:
 		call.Failed(w.now())
-		w.recordEvent(Event{Node: n.name, What: "gives a call to discovery up"})
+		w.recordEvent(Event{Node: n.name, What: "abandons a call to discovery"})
 	}
 	return false
 }
@@ -176,7 +176,7 @@
 	d.call = call
 }
 
-// silence leaves the connection without a word from a moment on.
+// silence stops all data on the connection from a time on and leaves it open.
 func (d *discoveryConn) silence(from time.Duration) {
 	d.once.Do(func() { close(d.silent) })
 	w := d.endpoint.node.world
@@ -189,10 +189,10 @@
 	}
 }
 
-// applyFault is the first moment of trouble on the way to discovery, for what is open then.
+// applyFault applies the start of a fault of discovery to the connections that are open then.
 func (w *world) applyFault(f drainsearch.Fault) {
 	w.mu.Lock()
-	w.recordEvent(Event{What: fmt.Sprintf("discovery: trouble of kind %d for balancer %d until %.3f, delay %v", f.Kind, f.Balancer, f.To.Seconds(), f.Delay)})
+	w.recordEvent(Event{What: fmt.Sprintf("discovery: fault of kind %d for balancer %d until %.3f, delay %v", f.Kind, f.Balancer, f.To.Seconds(), f.Delay)})
 	w.mu.Unlock()
 	for _, n := range w.nodes {
 		if f.Balancer >= 0 && f.Balancer != n.number {
@@ -209,7 +209,7 @@
 	}
 }
 
-// reset ends a connection by a reset.
+// reset closes a connection with a TCP reset.
 func reset(c net.Conn) {
 	if raw, err := c.(syscall.Conn).SyscallConn(); err == nil {
 		_ = raw.Control(func(fd uintptr) {
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -11,7 +11,7 @@
 
 const ms = time.Millisecond
 
-// randomSource draws what chance decides.
+// randomSource makes the random draws of a script.
 type randomSource struct{ *rand.Rand }
 
 func (rnd randomSource) between(lowest, highest time.Duration) time.Duration {
@@ -22,10 +22,10 @@
 
 func pick[T any](rnd randomSource, options ...T) T { return options[rnd.IntN(len(options))] }
 
-// stream keeps these draws apart from others of the same seed.
+// stream separates these draws from others of the same seed.
 const stream = 47
 
-// Draw makes the run of a seed: a sequence of the search in virtual time, and what can be played on sockets alone.
+// Draw returns the run of a seed: a sequence of the search in virtual time, with events added that need real processes.
 func Draw(seed uint64) *Script {
 	rnd := randomSource{rand.New(rand.NewPCG(seed, stream))}
 	s := &Script{Script: *drainsearch.Draw(seed), Proxy: rnd.withProbability(0.4), MaxAttempts: 1 + rnd.IntN(6),
@@ -39,8 +39,8 @@
 	return s
 }
 
-// addSignals draws planned restarts, reloads in a row and pauses. A balancer that crashes has no planned restart, so that what
-// is lost at either is told apart.
+// addSignals draws planned restarts, consecutive reloads and pauses. A balancer that crashes has no planned restart, so
+// that the losses of the two can be told apart.
 func (rnd randomSource) addSignals(s *Script) {
 	for _, h := range s.Holds {
 		s.Pauses = append(s.Pauses, Pause{At: h.At, Balancer: h.Balancer, For: h.For})
@@ -70,13 +70,13 @@
 		s.HostFaults = append(s.HostFaults, HostFault{Kind: HostFaultKind(rnd.IntN(int(hostFaultKindCount))), Host: rnd.IntN(s.Hosts),
 			From: from, To: from + rnd.between(50*ms, 5*time.Second)})
 	}
-	if len(s.Terminations) > 0 && rnd.withProbability(0.5) { // a host that hangs through a shutdown
+	if len(s.Terminations) > 0 && rnd.withProbability(0.5) { // a host that hangs during a shutdown
 		at := s.Terminations[0].At
 		s.HostFaults = append(s.HostFaults, HostFault{Kind: HostHangs, Host: rnd.IntN(s.Hosts), From: at - time.Second, To: at + 5*time.Second})
 	}
 }
 
-// addFlood draws idle clients that fill the descriptors of a balancer.
+// addFlood draws idle connections that use up the file descriptors of a balancer.
 func (rnd randomSource) addFlood(s *Script) {
 	if !rnd.withProbability(0.25) {
 		return
@@ -91,7 +91,7 @@
 		Connections: s.Sockets * 6 / 5})
 }
 
-// addIdleClients draws clients that ask late, many of them while their balancer ends.
+// addIdleClients draws clients that send their requests late, many of them while their balancer shuts down.
 func (rnd randomSource) addIdleClients(s *Script) {
 	for range rnd.IntN(12) {
 		r := IdleClient{Balancer: rnd.IntN(s.Balancers), At: rnd.between(time.Second, s.Length-4*time.Second), RequestAfter: rnd.between(0, 2*time.Second)}
@@ -104,13 +104,13 @@
 	}
 }
 
-// addTraffic adds plain requests all along, so that what stands at a shutdown is in use.
+// addTraffic adds plain requests throughout the run, so that connections are in use at a shutdown.
 func (rnd randomSource) addTraffic(s *Script) {
 	for at := 500 * ms; at < s.Length-2*time.Second; at += rnd.between(100*ms, 400*ms) {
 		s.Requests = append(s.Requests, drainsearch.Request{At: at, Balancer: rnd.IntN(s.Balancers), Key: rnd.Uint64N(40), TTL: s.Deadline,
 			Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.Up}})
 	}
-	for _, c := range s.Changes { // clients that come as the grace of a drain ends
+	for _, c := range s.Changes { // clients that arrive as the grace of a drain ends
 		if c.Phase == drainaudit.InService || c.At < 0 {
 			continue
 		}
@@ -119,7 +119,7 @@
 				Key: rnd.Uint64N(1 << 20), TTL: s.Deadline, Class: "safe", MidFlow: rnd.withProbability(0.5), Answers: []drainsearch.Answer{drainsearch.Up}})
 		}
 	}
-	for _, t := range s.Terminations { // clients that come as the balancer is told to end
+	for _, t := range s.Terminations { // clients that arrive as the balancer receives SIGTERM
 		for range 10 {
 			s.Requests = append(s.Requests, drainsearch.Request{At: t.At - 200*ms + rnd.between(0, 400*ms), Balancer: t.Balancer, Key: rnd.Uint64N(40),
 				TTL: s.Deadline, Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{pick(rnd, drainsearch.Up, drainsearch.Up, drainsearch.Nothing)}})
--- a/internal/lab/soak/host.go
+++ b/internal/lab/soak/host.go
@@ -12,11 +12,11 @@
 type host struct {
 	world       *world
 	index       int
-	listed      hostlist.Host // as discovery has it; the run's lock guards it
+	listed      hostlist.Host // its entry in discovery; the run's lock guards it
 	mu          sync.Mutex
 	listener    net.Listener
 	conns       map[net.Conn]bool
-	acceptAgain chan struct{} // closed when the host takes connections again
+	acceptAgain chan struct{} // closed when the host accepts connections again
 }
 
 func (w *world) startHosts() error {
@@ -34,7 +34,7 @@
 	return nil
 }
 
-// listen has the host take connections at an address.
+// listen accepts connections at an address.
 func (h *host) listen(address string) error {
 	l, err := net.Listen("tcp", address)
 	if err != nil {
@@ -47,7 +47,7 @@
 	return nil
 }
 
-// accept takes connections, but while takeNone has it wait.
+// accept accepts connections, except while stopAccepting makes it wait.
 func (h *host) accept(l net.Listener) {
 	for {
 		c, err := l.Accept()
@@ -72,7 +72,7 @@
 	}
 }
 
-// stop ends the host's process: connections are reset, new ones refused.
+// stop ends the host's process: its connections are reset and new ones refused.
 func (h *host) stop() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -84,20 +84,20 @@
 	}
 }
 
-// restart ends the host's process and starts another one, at the same address or a new one.
+// restart replaces the host's process by a new one, at the same address or another one.
 func (h *host) restart(moves bool) (address string) {
 	h.stop()
 	address = h.listener.Addr().String()
 	if moves {
 		address = "127.0.0.1:0"
 	}
-	if err := h.listen(address); err != nil { // the address is taken
+	if err := h.listen(address); err != nil { // the address is in use
 		_ = h.listen("127.0.0.1:0")
 	}
 	return h.listener.Addr().String()
 }
 
-// hasFault is the trouble of a kind that the host has now.
+// hasFault reports whether a fault of a kind affects the host now.
 func (h *host) hasFault(kind HostFaultKind) bool {
 	now := h.world.now() - start
 	for _, f := range h.world.script.HostFaults {
@@ -108,10 +108,10 @@
 	return false
 }
 
-// applyFault is the first moment of trouble.
+// applyFault applies the start of a fault.
 func (h *host) applyFault(f HostFault) {
 	h.world.mu.Lock()
-	h.world.recordEvent(Event{Host: h.listed.ID, What: fmt.Sprintf("host: trouble of kind %d until %.3f", f.Kind, f.To.Seconds())})
+	h.world.recordEvent(Event{Host: h.listed.ID, What: fmt.Sprintf("host: fault of kind %d until %.3f", f.Kind, f.To.Seconds())})
 	h.world.mu.Unlock()
 	switch f.Kind {
 	case HostResets:
@@ -121,7 +121,7 @@
 	}
 }
 
-// resetAll resets all connections that the host holds.
+// resetAll resets all connections of the host.
 func (h *host) resetAll() {
 	h.mu.Lock()
 	defer h.mu.Unlock()
@@ -131,7 +131,7 @@
 	}
 }
 
-// markDisturbed notes that what stands on a connection ends by the host's doing.
+// markDisturbed records that the host itself ended what is established on a connection.
 func (h *host) markDisturbed(c net.Conn) {
 	w := h.world
 	w.mu.Lock()
--- a/internal/lab/soak/host_answers.go
+++ b/internal/lab/soak/host_answers.go
@@ -12,7 +12,7 @@
 	"tealtiller/internal/lab/drainsearch"
 )
 
-// serve takes one attempt from its line to its end.
+// serve handles one attempt from its first line to its end.
 func (h *host) serve(c net.Conn) {
 	defer func() {
 		_ = c.Close()
@@ -41,7 +41,7 @@
 	h.answer(c, r, a)
 }
 
-// answer plays what the script has this host say to an attempt.
+// answer answers an attempt as the script says.
 func (h *host) answer(c net.Conn, r *bufio.Reader, a *attempt) {
 	w := h.world
 	w.mu.Lock()
@@ -62,7 +62,7 @@
 	}
 }
 
-// awaitEnd waits for the balancer to give an attempt up.
+// awaitEnd waits until the balancer abandons an attempt.
 func (h *host) awaitEnd(r io.Reader, a *attempt) {
 	_, _ = io.Copy(io.Discard, r)
 	h.world.attemptEnded(a, resultMaybeExecuted)
@@ -73,11 +73,11 @@
 	if !h.delayAnswer(c, r, a) {
 		return
 	}
-	h.world.attemptEnded(a, result) // from here on it is over for who reads the line
+	h.world.attemptEnded(a, result) // recorded first: whoever reads the line may act on it at once
 	_ = h.write(c, line+"\r\n")
 }
 
-// write writes a line, in pieces where the host does so now.
+// write writes a line, byte by byte if the host has that fault now.
 func (h *host) write(c net.Conn, line string) error {
 	if !h.hasFault(HostFragments) {
 		_, err := io.WriteString(c, line)
@@ -94,10 +94,11 @@
 	return nil
 }
 
-// hostDelay is how late a slow host answers.
+// hostDelay is how late a host with delayed answers answers.
 const hostDelay = 200 * time.Millisecond
 
-// delayAnswer has an answer come late where the host does so now; false if the balancer has given the attempt up meanwhile.
+// delayAnswer delays an answer if the host has that fault now; it returns false if the balancer has abandoned the
+// attempt in the meantime.
 func (h *host) delayAnswer(c net.Conn, r *bufio.Reader, a *attempt) bool {
 	if !h.hasFault(HostDelays) {
 		return true
@@ -111,7 +112,7 @@
 	return true
 }
 
-// serveConnection brings a connection serveConnection and answers its lines until one side ends it.
+// serveConnection establishes a connection and answers its lines until one side ends it.
 func (h *host) serveConnection(c net.Conn, r *bufio.Reader, a *attempt) {
 	if !h.delayAnswer(c, r, a) {
 		return
@@ -145,7 +146,7 @@
 	}
 }
 
-// markHung notes that what stands gets no answer any more.
+// markHung records that the host no longer answers on an established connection.
 func (h *host) markHung(a *attempt) {
 	h.world.mu.Lock()
 	defer h.world.mu.Unlock()
--- a/internal/lab/soak/host_late.go
+++ b/internal/lab/soak/host_backlog.go
@@ -7,16 +7,15 @@
 	"golang.org/x/sys/unix"
 )
 
-// Of a host that takes no connections: how long its queue is when it does, how many connections of its own fill the queue, and how
-// long one may take to find it full.
+// Limits of a host that accepts no connections.
 const (
-	normalBacklog = 4096
-	maxFillers    = 4
-	fillerWait    = 30 * time.Millisecond
+	normalBacklog = 4096                  // accept backlog while the host accepts connections
+	maxFillers    = 4                     // connections opened to fill the backlog
+	fillerWait    = 30 * time.Millisecond // without a connection after this time the backlog counts as full
 )
 
-// stopAccepting has the host take no connections until a moment. Its queue is full meanwhile, so the system drops what asks for
-// one, and it comes up when it is asked for again, a second later.
+// stopAccepting makes the host accept no connections until a time. Its accept queue is kept full, so the kernel drops
+// incoming SYNs, and a connection comes up when its SYN is retransmitted, one second later.
 func (h *host) stopAccepting(until time.Duration) {
 	h.mu.Lock()
 	l, acceptAgain := h.listener.(*net.TCPListener), make(chan struct{})
@@ -28,7 +27,7 @@
 	fillers := fillBacklog(l.Addr().String())
 	h.world.sleepUntil(until)
 	setBacklog(l, normalBacklog)
-	// What came into the queue before it was full would be read only now, and is no attempt.
+	// A connection that entered the queue before it was full would be read only now; it is no attempt.
 	_ = l.SetDeadline(time.Now().Add(time.Millisecond))
 	for {
 		c, err := l.Accept()
@@ -49,7 +48,7 @@
 	}
 }
 
-// fillBacklog makes connections until one finds the queue full.
+// fillBacklog opens connections until one finds the queue full.
 func fillBacklog(address string) (fillers []net.Conn) {
 	for range maxFillers {
 		c, err := net.DialTimeout("tcp", address, fillerWait)
--- a/internal/lab/soak/jitter.go
+++ b/internal/lab/soak/jitter.go
@@ -5,8 +5,8 @@
 	"time"
 )
 
-// jitter measures how late the run's own goroutines are: what they saw at a moment may have happened so much earlier. A
-// limit counts as missed only by more than that.
+// jitter measures how late the run's own goroutines are scheduled: what they observe at a time may have happened that
+// much earlier. A limit counts as exceeded only by more than that.
 type jitter struct {
 	mu     sync.Mutex
 	delays []delay
@@ -14,10 +14,10 @@
 
 type delay struct{ at, amount time.Duration }
 
-// jitterTick is how often the delay is measured, jitterLeast what is worth keeping.
+// The measurement of delays.
 const (
-	jitterInterval = 5 * time.Millisecond
-	minJitter      = 2 * time.Millisecond
+	jitterInterval = 5 * time.Millisecond // how often the delay is measured
+	minJitter      = 2 * time.Millisecond // shorter delays are not recorded
 )
 
 func newJitter(w *world) *jitter {
@@ -38,7 +38,7 @@
 	return j
 }
 
-// longest is the longest delay measured between two moments.
+// longest returns the longest delay measured between two times.
 func (j *jitter) longest(from, to time.Duration) (longest time.Duration) {
 	j.mu.Lock()
 	defer j.mu.Unlock()
@@ -50,10 +50,10 @@
 	return longest
 }
 
-// around is how late what was seen at a moment may have been seen.
+// around returns how late an event observed at a time may have been observed.
 func (j *jitter) around(at time.Duration) time.Duration {
 	return idleJitter + j.longest(at-time.Second, at+time.Second)
 }
 
-// idleJitter is what two readings of different goroutines may differ by on an idle machine.
+// idleJitter is by how much the clock readings of two goroutines may differ on an idle machine.
 const idleJitter = 10 * time.Millisecond
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -16,25 +16,25 @@
 	"tealtiller/internal/lab/hostlist"
 )
 
-// node is one balancer of the fleet, and the process of it that runs.
+// node is one balancer of the fleet with its current process.
 type node struct {
 	world            *world
 	number           int
 	name             string
 	listen           string
 	folder           string
-	answered         bool // an answer that can be read was written to this process; the run's lock guards it
+	answered         bool // a readable answer of discovery was written to this process; the run's lock guards it
 	answeredRevision int  // the revision of the last such answer
 	mu               sync.Mutex
 	endpoints        []*endpoint
-	process          int // in order
+	process          int // counts the processes of this balancer
 	knownRevision    int // revision of the list in its configuration
 	cmd              *exec.Cmd
 	done             chan struct{}
-	inRotation       bool          // the front sends it new connections
-	killedAt         time.Duration // of this process; 0 while it was not
+	inRotation       bool          // the front sends new connections to it
+	killedAt         time.Duration // when a signal ended this process; 0 if none has
 	sigtermAt        time.Duration
-	attempted        chan struct{} // has one in it once this balancer has written an attempt
+	attempted        chan struct{} // holds one element once this balancer has written an attempt
 }
 
 func newNode(w *world, number int) (*node, error) {
@@ -53,31 +53,31 @@
 	return n, nil
 }
 
-// Where balancers listen: each run has a loopback address of its own, which neither another run nor a port that the system
-// hands out can take. Danger: balancers share a port that is taken, so on port 3000, where the tests of the sockets listen,
-// clients of one would reach the other.
+// Where balancers listen. Each run has a loopback address of its own, which neither another run nor an ephemeral port
+// can take. Balancers share a port that is already in use, so on port 3000, where the socket tests listen, clients of
+// one would reach the other.
 const (
 	listenNet  = 101
 	listenPort = 23000
 )
 
-// currentEndpoint is where discovery serves it now.
+// currentEndpoint returns the endpoint at which discovery serves the balancer now.
 func (n *node) currentEndpoint() *endpoint {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.endpoints[len(n.endpoints)-1]
 }
 
-// settingsFormat are the settingsFormat of a balancer, in the form of the operators' configuration.
+// settingsFormat formats the settings of a balancer as in the operators' configuration.
 const settingsFormat = `{"allowed":{"tryLimit":%d,"connectTimeout":%d,"retryAfter":true,"probing":false},"discovery":%q,"tick":4000000,"siblings":%d,
 "familyInfo":{"groups":true,"mode":%q,"messageAim":[250000000,250000000,250000000]},
 "grades":[%s],
 "invariants":{"askWithin":%d,"coldFrom":0.15,"fall":1000000000,"overloadFactor":3,"stopSendingWithin":%d,"warmAfter":22000000000}}`
 
-// dedupWindow is for how long the hosts discard the repeats of a keyed request.
+// dedupWindow is for how long hosts discard repeats of a keyed request.
 const dedupWindow = 2 * time.Second
 
-// config is the text of its configuration.
+// config returns the text of the balancer's configuration.
 func (n *node) config() string {
 	w, s := n.world, n.world.script
 	grace, attempts, dedup, plant := s.Grace, s.MaxAttempts, dedupWindow, w.options.Plant
@@ -112,7 +112,7 @@
 
 func (n *node) configPath() string { return filepath.Join(n.folder, "config.json") }
 
-// launch starts a process whose configuration has a list of some age.
+// launch starts a process whose configuration has a list of the given age.
 func (n *node) launch(knownAge time.Duration) error {
 	w := n.world
 	if err := w.ctx.Err(); err != nil {
@@ -151,7 +151,7 @@
 	return nil
 }
 
-// await waits for the end of a process, which breaks a rule if nobody asked for it.
+// await waits for the end of a process, which breaks a rule unless the run caused it.
 func (n *node) await(cmd *exec.Cmd, log io.Closer, done chan struct{}, process int) {
 	err := cmd.Wait()
 	close(done)
@@ -171,7 +171,7 @@
 // readyTimeout is how soon a process has to answer the front.
 const readyTimeout = 10 * time.Second
 
-// awaitReady takes in a process once it has answered PING with PONG.
+// awaitReady puts a process into rotation once it has answered PING with PONG.
 func (n *node) awaitReady(process int) {
 	w := n.world
 	due := w.now() + readyTimeout
@@ -194,13 +194,14 @@
 	}
 }
 
-// isRunning tells whether a process isRunning and was not told to end.
+// isRunning reports whether a process is the current one and was not signalled to end.
 func (n *node) isRunning(process int) bool {
 	n.mu.Lock()
 	defer n.mu.Unlock()
 	return n.process == process && n.sigtermAt == 0 && n.killedAt == 0
 }
 
+// answersPing reports whether the balancer answers PING with PONG.
 func (n *node) answersPing() bool {
 	c, err := net.DialTimeout("tcp", n.listen, time.Second)
 	if err != nil {
@@ -216,7 +217,7 @@
 	return err == nil && string(answer) == "PONG"
 }
 
-// kill ends the process without a word.
+// kill kills the process with SIGKILL.
 func (n *node) kill() {
 	n.mu.Lock()
 	cmd, done := n.cmd, n.done
@@ -231,7 +232,7 @@
 	}
 }
 
-// crash kills the process and starts another one.
+// crash kills the process and starts another one after the scripted time.
 func (n *node) crash(r drainsearch.Restart) {
 	n.kill()
 	if n.world.sleep(r.Down) {
--- a/internal/lab/soak/requests.go
+++ b/internal/lab/soak/requests.go
@@ -9,33 +9,33 @@
 	"tealtiller/internal/lab/drainsearch"
 )
 
-// requestRecord is all that was seen of one client's request.
+// requestRecord is what was observed of one client's request.
 type requestRecord struct {
 	id           string
 	script       drainsearch.Request
 	node         *node
 	process      int
-	sentAt       time.Duration // its last byte was written; 0 before
-	leftAt       time.Duration // its client went; 0: it stayed
+	sentAt       time.Duration // when its last byte was written; 0 before that
+	leftAt       time.Duration // when its client left; 0 if it stayed
 	answeredAt   time.Duration
-	answer       string // the first line that came
-	secondAnswer string // a further final answer
+	answer       string // the first line received
+	secondAnswer string // a further line after a final answer
 	endedAt      time.Duration
-	excuse       string // why its end without an answer breaks no rule
+	excuse       string // why a missing answer breaks no rule; empty if it does
 	lines        int
 	attempts     []*attempt
 }
 
-// attempt is one attempt at a host.
+// attempt is one attempt of a request at a host.
 type attempt struct {
 	request   *requestRecord
 	host      *host
 	conn      net.Conn
-	beganAt   time.Duration // its first byte was read
-	endedAt   time.Duration // never, while it is out
+	beganAt   time.Duration // when its first byte was read
+	endedAt   time.Duration // never while it is in progress
 	result    attemptResult
 	receipt   string
-	disturbed bool // the host ended, or ceased to serve, what stood
+	disturbed bool // the host ended the established connection, or stopped serving it
 }
 
 type attemptResult int
@@ -49,7 +49,7 @@
 
 func (q *requestRecord) sent() bool { return q.sentAt > 0 }
 
-// firstAnswerWord is the first word of the answer.
+// firstAnswerWord returns the first word of the answer, or "none".
 func (q *requestRecord) firstAnswerWord() string {
 	word, _, _ := strings.Cut(q.answer, " ")
 	if word == "" {
@@ -58,7 +58,7 @@
 	return word
 }
 
-// nextAnswer is what a host says to the attempt of a number.
+// nextAnswer returns the scripted answer of a host to the attempt of a number.
 func (q *requestRecord) nextAnswer(number int) drainsearch.Answer {
 	if number < len(q.script.Answers) {
 		return q.script.Answers[number]
@@ -66,7 +66,7 @@
 	return drainsearch.Up
 }
 
-// newRequest notes a request that is about to be sent.
+// newRequest records a request that is about to be sent.
 func (w *world) newRequest(n *node, name string, script drainsearch.Request) *requestRecord {
 	n.mu.Lock()
 	process := n.process
@@ -78,7 +78,8 @@
 	return q
 }
 
-// recordAttempt notes the first byte of an recordAttempt, and judges it; nil if it is of no request.
+// recordAttempt records the first byte of an attempt and judges it; it returns nil if the attempt belongs to no
+// request.
 func (w *world) recordAttempt(h *host, c net.Conn, id string, at time.Duration) *attempt {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -99,7 +100,7 @@
 	return a
 }
 
-// attemptEnded notes that an attempt is attemptEnded.
+// attemptEnded records the end of an attempt.
 func (w *world) attemptEnded(a *attempt, result attemptResult) {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -111,7 +112,7 @@
 	}
 }
 
-// attemptEstablished notes that an attempt has brought a connection up; false if the run is over.
+// attemptEstablished records that an attempt has established a connection; it returns false if the run is over.
 func (w *world) attemptEstablished(a *attempt) bool {
 	w.mu.Lock()
 	defer w.mu.Unlock()
@@ -119,14 +120,14 @@
 	return w.ctx.Err() == nil
 }
 
-// recordMalformed notes a first line that no client sent in that form.
+// recordMalformed records a first line in a form that no client sent.
 func (w *world) recordMalformed(h *host, line string) {
 	if line == "" || w.ctx.Err() != nil {
 		return
 	}
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	if !strings.HasSuffix(line, "\n") { // the balancer gave it up in its midst
+	if !strings.HasSuffix(line, "\n") { // the balancer abandoned the attempt while it wrote the line
 		return
 	}
 	w.recordViolation(Break{Rule: "malformed", At: w.now() - start, Host: h.listed.ID, What: fmt.Sprintf("first line %q", line)})
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// Break is a broken rule.
+// Break is a violation of a rule.
 type Break struct {
 	Rule    string
 	At      time.Duration
@@ -30,35 +30,35 @@
 	What    string
 }
 
-// String is the event as a line of the record.
+// String formats the event as a line of the record.
 func (e Event) String() string {
 	return strings.TrimRight(fmt.Sprintf("%8.3f  %-4s %-6s %s  %s", e.At.Seconds(), e.Node, e.Host, e.What, e.Request), " ")
 }
 
-// Result is what a run has shown.
+// Result is what was observed in a run.
 type Result struct {
 	Breaks   []Break
 	Requests int
-	Answers  map[string]int // by their first word; "none" where there was none
+	Answers  map[string]int // by first word; "none" for a request without an answer
 	Attempts int
-	Lines    int           // answered on standing connections
-	Late     time.Duration // the longest hold-up of the run's own clock
+	Lines    int           // answered on established connections
+	Late     time.Duration // the longest scheduling delay of the run's own goroutines
 	Events   []Event
 }
 
-// recordEvent adds to the record of the run; the lock is held.
+// recordEvent adds an event to the record of the run. The caller holds the lock.
 func (w *world) recordEvent(e Event) {
 	e.At = w.now() - start
 	w.events = append(w.events, e)
 }
 
-// recordViolation notes a broken rule; the lock is held.
+// recordViolation records a violation of a rule. The caller holds the lock.
 func (w *world) recordViolation(b Break) {
 	w.violations = append(w.violations, b)
 	w.recordEvent(Event{Node: b.Node, Host: b.Host, Request: b.Request, What: "BROKEN " + b.Rule + ": " + b.What})
 }
 
-// result is what the run has shown.
+// result sums up the run.
 func (w *world) result() *Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -9,25 +9,25 @@
 	"tealtiller/internal/lab/drainsearch"
 )
 
-// This file judges a run by the operators' rules. The run's lock is held wherever world's fields are read.
+// This file judges a run by the operators' rules. All functions that read fields of world run under the run's lock.
 
-// slack is by how much each time limit grows on sockets.
+// slack is the tolerance added to each time limit, as the run uses sockets.
 const slack = 50 * time.Millisecond
 
-// DrainReadStrictly is the drain rule where only a reading milder than the pages' words would excuse a break.
+// DrainReadStrictly is the name of the drain rule where only a lenient reading of the pages would excuse the violation.
 const DrainReadStrictly = "drain, read strictly"
 
-// leftSlack is how long after its client went a request may still be attempted.
+// leftSlack is for how long after its client left a request may still be attempted.
 const leftSlack = 100 * time.Millisecond
 
-// judgeFirstByte judges the first byte of an attempt as it comes.
+// judgeFirstByte judges the first byte of an attempt when it arrives.
 func (w *world) judgeFirstByte(a *attempt) {
 	q := a.request
 	tolerance := w.jitter.around(a.beganAt)
 	q.node.mu.Lock()
 	current := q.process == q.node.process
 	q.node.mu.Unlock()
-	if current { // the list's clocks of an earlier process are gone
+	if current { // the audit no longer has the calls of an earlier process
 		if violation := w.audit.FirstByteSent(q.node.number, a.host.listed.ID, a.beganAt); violation != nil && violation.Late > tolerance {
 			violation.MakeRelativeTo(start)
 			rule := "drain"
@@ -58,18 +58,18 @@
 	}
 }
 
-// judgeInFlight judges whether two attempts of a request were out at a time.
+// judgeInFlight judges whether two attempts of a request were in progress at the same time.
 func (w *world) judgeInFlight(q *requestRecord) {
 	for i, a := range q.attempts[:max(len(q.attempts)-1, 0)] {
 		next := q.attempts[i+1]
 		if overlap := a.endedAt - next.beganAt; overlap > w.jitter.around(next.beganAt) && !w.nodeKilledBefore(q, next.beganAt) {
 			w.recordViolation(Break{Rule: "in flight", At: next.beganAt - start, Node: q.node.name, Request: q.id,
-				What: fmt.Sprintf("attempts %d and %d were out together for %v", i+1, i+2, overlap)})
+				What: fmt.Sprintf("attempts %d and %d were in progress together for %v", i+1, i+2, overlap)})
 		}
 	}
 }
 
-// judgeEffects judges whether an effect was doubled.
+// judgeEffects judges whether a request may have taken effect twice.
 func (w *world) judgeEffects(q *requestRecord) {
 	first := slices.IndexFunc(q.attempts, func(a *attempt) bool { return a.result != resultNotExecuted })
 	if first < 0 {
@@ -80,13 +80,13 @@
 		doubled := q.script.Class == "unsafe" || q.script.Class == "keyed" && since > dedupWindow+slack+w.jitter.around(a.beganAt)
 		if doubled {
 			w.recordViolation(Break{Rule: "duplicate", At: a.beganAt - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id,
-				What: fmt.Sprintf("a further attempt of a request %s %v after one that may have run", q.script.Class, since)})
+				What: fmt.Sprintf("a further attempt of a request of class %s %v after one that may have run", q.script.Class, since)})
 			return
 		}
 	}
 }
 
-// judgeAnswer judges whether a request got its one final answer.
+// judgeAnswer judges whether a request received exactly one final answer, in time.
 func (w *world) judgeAnswer(q *requestRecord) {
 	due := q.sentAt + min(q.script.TTL, w.script.Deadline) + answerSlack
 	switch {
@@ -102,7 +102,7 @@
 	case q.answeredAt > due+w.jitter.around(q.answeredAt):
 		w.requestViolation("lost", q, fmt.Sprintf("answered %v after it was sent", q.answeredAt-q.sentAt))
 	case q.firstAnswerWord() == "UP" && !q.wasGiven(q.answer):
-		w.requestViolation("lost", q, fmt.Sprintf("served by %q, which no host said", q.answer))
+		w.requestViolation("lost", q, fmt.Sprintf("served by %q, which no host sent", q.answer))
 	}
 }
 
@@ -110,12 +110,12 @@
 	w.recordViolation(Break{Rule: rule, At: max(q.answeredAt, q.endedAt, q.sentAt) - start, Node: q.node.name, Request: q.id, What: what})
 }
 
-// wasGiven tells whether a host wasGiven an answer.
+// wasGiven reports whether a host gave this answer.
 func (q *requestRecord) wasGiven(answer string) bool {
 	return slices.ContainsFunc(q.attempts, func(a *attempt) bool { return answer == "UP "+a.receipt })
 }
 
-// excuse is why a connection that ended at a moment without an answer breaks no rule; empty if it does.
+// excuse returns why a connection that ended at a time without an answer breaks no rule; it is empty if one is broken.
 func (w *world) excuse(q *requestRecord, at time.Duration) string {
 	switch {
 	case w.ctx.Err() != nil:
@@ -132,8 +132,8 @@
 	return ""
 }
 
-// wasCrashed tells whether a request's process was killed out of the blue before a moment. At a planned restart nothing may be
-// lost.
+// wasCrashed reports whether the process of a request was killed without SIGTERM before a time. At a planned restart
+// nothing may be lost.
 func (w *world) wasCrashed(q *requestRecord, at time.Duration) bool {
 	q.node.mu.Lock()
 	defer q.node.mu.Unlock()
@@ -143,29 +143,30 @@
 	return q.node.killedAt > 0 && q.node.sigtermAt == 0 && q.node.killedAt <= at+slack
 }
 
-// restartedByScript tells whether the process of a request ended by a kill out of the blue. Restarts of the script are the only
-// ones; where a balancer has terminations too, the record of events tells them apart.
+// restartedByScript reports whether the process of a request ended in a scripted crash. Only the Restarts of
+// the script are crashes; where a balancer has planned restarts as well, only the record of events distinguishes them.
 func (w *world) restartedByScript(q *requestRecord) bool {
 	return slices.ContainsFunc(w.script.Restarts, func(r drainsearch.Restart) bool {
 		return r.Balancer == q.node.number && start+r.At >= q.sentAt-slack && start+r.At <= max(q.endedAt, q.answeredAt, q.sentAt)+slack
 	})
 }
 
-// nodeKilledBefore tells whether the process of a request was ended by a signal before a moment.
+// nodeKilledBefore reports whether the process of a request was ended by a signal before a time.
 func (w *world) nodeKilledBefore(q *requestRecord, at time.Duration) bool {
 	q.node.mu.Lock()
 	defer q.node.mu.Unlock()
 	return q.process < q.node.process || q.node.killedAt > 0 && q.node.killedAt <= at
 }
 
-// flooded tells whether idle clients fill the descriptors of a request's balancer while it is new.
+// flooded reports whether idle connections used up the file descriptors of a request's balancer when the request was
+// new.
 func (w *world) flooded(q *requestRecord) bool {
 	return q.answeredAt == 0 && len(q.attempts) == 0 && slices.ContainsFunc(w.script.Floods, func(c ConnectionFlood) bool {
 		return c.Balancer == q.node.number && start+c.From <= q.sentAt && q.sentAt <= start+c.To
 	})
 }
 
-// hostDisturbed tells whether the host of what stands has ended it, or ceased to serve it.
+// hostDisturbed reports whether the host of an established connection ended it or stopped serving it.
 func (w *world) hostDisturbed(q *requestRecord) bool {
 	if len(q.attempts) == 0 {
 		return false
--- a/internal/lab/soak/script.go
+++ b/internal/lab/soak/script.go
@@ -1,6 +1,6 @@
-// Package soak plays real balancer processes on loopback sockets under faults that are drawn from a seed: it takes the
-// place of discovery, of the hosts, of the front and of the clients, sends the signals, and judges what it saw from the
-// operators' pages alone. It imports nothing of the balancer but its laboratory.
+// Package soak plays real balancer processes on loopback sockets under faults that are drawn from a seed. It stands in
+// for discovery, the hosts, the front and the clients, sends the signals, and judges what it observed from the
+// operators' pages alone. It imports nothing of the balancer but its lab.
 package soak
 
 import (
@@ -13,20 +13,22 @@
 	"tealtiller/internal/lab/drainsearch"
 )
 
-// Script is one run: all that chance decides about it. What happens to the host list and on the way to discovery is a
-// script of the search in virtual time; the rest can be played on sockets alone.
+// Script is one run: everything about it that is drawn at random. The embedded script of the search in virtual time has
+// the changes of the host list and the faults of discovery; the rest needs real processes. Scripts are kept as JSON
+// files and read back, so fields and enumerations keep their outer names and values.
 type Script struct {
 	drainsearch.Script
-	Proxy        bool          // connections end at the balancer; else packets pass through
-	MaxAttempts  int           // of one request
-	Deadline     time.Duration // of all classes
-	Sockets      int           // file descriptors of a balancer; 0: no limit of its own
+	Proxy        bool          // connections end at the balancer; otherwise packets pass through
+	MaxAttempts  int           // maximum attempts of one request
+	Deadline     time.Duration // deadline of all classes
+	Sockets      int           // file descriptors of a balancer; 0 for no limit of its own
 	Terminations []Termination
 	HostFaults   []HostFault
 	Floods       []ConnectionFlood `json:"Crowds"`
 	IdleClients  []IdleClient      `json:"Resting"`
 	Pauses       []Pause
-	// GoneStaysUp has hosts that have gone from the list still take connections, so that a request to one is seen.
+	// GoneStaysUp lets hosts that were removed from the list still accept connections, so that a request to one is
+	// seen.
 	GoneStaysUp bool
 }
 
@@ -34,58 +36,58 @@
 type Termination struct {
 	At       time.Duration
 	Balancer int
-	KnownAge time.Duration // how old the list in the new process's configuration is
+	KnownAge time.Duration // age of the list in the new process's configuration
 }
 
-// HostFaultKind is a kind of trouble at a host.
+// HostFaultKind is a kind of fault at a host.
 type HostFaultKind int
 
-// The kinds of trouble at hosts.
+// The kinds of faults at hosts.
 const (
-	HostHangs     HostFaultKind = iota // it takes connections and lines, and answers nothing
-	HostResets                         // it resets all that it holds, at the start of the span
-	HostDelays                         // each answer comes up to 300 ms late
-	HostFragments                      // answers come in pieces of a byte
+	HostHangs     HostFaultKind = iota // it accepts connections and lines, and answers nothing
+	HostResets                         // it resets all its connections at the start of the fault
+	HostDelays                         // each answer is late by hostDelay
+	HostFragments                      // answers are written byte by byte
 	hostFaultKindCount
 
-	// HostNotAccepting has the host take no connections, so that one that is asked for meanwhile comes up a second after that. Only runs
-	// of crossings have it.
+	// HostNotAccepting makes the host accept no connections, so that one that is requested meanwhile comes up a second
+	// later. Only runs of crossings have it.
 	HostNotAccepting
 )
 
-// HostFault is trouble at one host.
+// HostFault is a fault at one host.
 type HostFault struct {
 	Kind     HostFaultKind
 	Host     int
 	From, To time.Duration
 }
 
-// ConnectionFlood is idle connections to one balancer, which say nothing.
+// ConnectionFlood is a number of idle connections to one balancer.
 type ConnectionFlood struct {
 	Balancer    int
 	From, To    time.Duration
 	Connections int
 }
 
-// IdleClient is a client that connects, says nothing, and sends its request later on that connection.
+// IdleClient is a client that connects and sends its request later on that connection.
 type IdleClient struct {
 	Balancer     int
-	At           time.Duration // it connects
-	RequestAfter time.Duration `json:"Asks"` // it sends its request, so long after that
+	At           time.Duration // when it connects
+	RequestAfter time.Duration `json:"Asks"` // when it sends its request, counted from At
 }
 
-// Pause stops a process and lets it go on (SIGSTOP, SIGCONT).
+// Pause stops a process and continues it (SIGSTOP, SIGCONT).
 type Pause struct {
 	At       time.Duration
 	Balancer int
 	For      time.Duration
-	Twice    bool // it is stopped again for as long soon after
+	Twice    bool // the process is stopped again for the same time shortly after
 }
 
 // Options change how a run is played.
 type Options struct {
-	Binary string   // the balancer
-	Env    []string // of its processes, beside what the run sets
+	Binary string   // path of the balancer's program
+	Env    []string // additions to the environment of its processes
 	Folder string   // for configurations and logs
 	// Plant is a fault in the run's own configuration that the judge has to find.
 	Plant Plant
@@ -94,26 +96,26 @@
 // Plant is a planted fault.
 type Plant int
 
-// The planted faults. Each is a setting or a signal that differs from what the judge goes by.
+// The planted faults. Each is a setting or a signal that differs from what the judge assumes.
 const (
 	Nothing      Plant = iota
-	LongerGrace        // the balancer takes the drain grace as 1 s longer
+	LongerGrace        // the balancer's drain grace is 1 s longer
 	LateCalls          // its calls to discovery arrive 1 s late
-	MoreAttempts       // it may make two attempts more
-	LongerWindow       // it takes the window of repeats as 3 s longer
+	MoreAttempts       // it may make two more attempts
+	LongerWindow       // its deduplication window is 3 s longer
 	EarlyKill          // it is killed 0.1 s after SIGTERM
-	SafeClasses        // it takes all classes for ones that may be repeated
+	SafeClasses        // it takes requests of all classes as repeatable
 	plantCount
 )
 
-// Names of the planted faults.
+// plantNames are the names of the planted faults.
 var plantNames = map[Plant]string{LongerGrace: "longer_grace", LateCalls: "late_calls", MoreAttempts: "more_attempts",
 	LongerWindow: "longer_window", EarlyKill: "early_kill", SafeClasses: "safe_classes"}
 
-// String is the name of a planted fault.
+// String returns the name of a planted fault.
 func (p Plant) String() string { return plantNames[p] }
 
-// Plants are all planted faults.
+// Plants returns all planted faults.
 func Plants() (all []Plant) {
 	for p := LongerGrace; p < plantCount; p++ {
 		all = append(all, p)
@@ -121,7 +123,7 @@
 	return all
 }
 
-// Parse reads a script as json.Marshal writes it, and refuses one that cannot be played.
+// Parse reads a script as json.Marshal writes it, and rejects one that cannot be played.
 func Parse(text []byte) (*Script, error) {
 	var s Script
 	decoder := json.NewDecoder(bytes.NewReader(text))
@@ -132,14 +134,14 @@
 	return &s, s.check()
 }
 
-// Bounds of a script: the machine's.
+// Bounds of a script, set by the resources of the machine.
 const (
 	maxBalancers = 30
 	maxHosts     = 100
 	maxLength    = 10 * time.Minute
 )
 
-// check tells what of a script is out of range.
+// check returns an error for a value that is out of range.
 func (s *Script) check() error {
 	if s.Balancers < 1 || s.Balancers > maxBalancers || s.Hosts < 1 || s.Hosts > maxHosts || s.Length <= 0 || s.Length > maxLength ||
 		s.MaxAttempts < 1 || s.Deadline <= 0 {
@@ -163,7 +165,7 @@
 	return nil
 }
 
-// namedBalancers are the balancers that the events name.
+// namedBalancers returns the balancers that events of the script refer to.
 func (s *Script) namedBalancers() (all []int) {
 	for _, r := range s.Requests {
 		all = append(all, r.Balancer)
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// signal sends a signal to the process that runs, unless it was told to end.
+// signal sends a signal to the current process, unless the process was already signalled to end.
 func (n *node) signal(s syscall.Signal) (process int, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -20,23 +20,23 @@
 	return n.process, n.cmd.Process.Signal(s) == nil
 }
 
-// recordEvent adds what happens to this balancer to the record of the run.
+// recordEvent adds an event of this balancer to the record of the run.
 func (n *node) recordEvent(format string, args ...any) {
 	n.world.mu.Lock()
 	defer n.world.mu.Unlock()
 	n.world.recordEvent(Event{Node: n.name, What: fmt.Sprintf(format, args...)})
 }
 
-// oldDiscoveryLinger is how long after a move the old discovery ends the connections that it has.
+// oldDiscoveryLinger is how long after a move the old discovery keeps its connections open.
 const oldDiscoveryLinger = 1500 * time.Millisecond
 
-// reload replaces the configuration and sends SIGHUP; where discovery moves, the new file names another address.
+// reload replaces the configuration and sends SIGHUP; if discovery moves, the new file names another address.
 func (n *node) reload(moves bool) {
 	w := n.world
 	n.mu.Lock()
 	ready := n.inRotation && n.sigtermAt == 0 && n.killedAt == 0
 	n.mu.Unlock()
-	if !ready { // no SIGHUP comes before a process is ready
+	if !ready { // no SIGHUP is sent before a process is ready
 		return
 	}
 	if moves {
@@ -53,7 +53,7 @@
 	w.mu.Lock()
 	text := n.config()
 	w.mu.Unlock()
-	// The file is replaced whole, as operators do: a file half written would be refused.
+	// The file is replaced atomically, as operators do: the balancer would reject a half-written file.
 	next := n.configPath() + ".next"
 	if os.WriteFile(next, []byte(text), 0o600) != nil || os.Rename(next, n.configPath()) != nil {
 		return
@@ -68,16 +68,15 @@
 	_, _ = n.signal(syscall.SIGHUP)
 }
 
-// Of a planned restart: for how long clients still come, how long after the longest deadline the process may be killed, and
-// what the deadline counts as at the most.
+// The course of a planned restart.
 const (
-	frontReaction = 300 * time.Millisecond
-	killMargin    = 700 * time.Millisecond
-	maxDeadline   = 3 * time.Second
-	earlyKill     = 100 * time.Millisecond // of the planted fault
+	frontReaction = 300 * time.Millisecond // after SIGTERM new clients still arrive for this time
+	killMargin    = 700 * time.Millisecond // the process may be killed this long after the longest deadline
+	maxDeadline   = 3 * time.Second        // cap on that deadline
+	earlyKill     = 100 * time.Millisecond // time from SIGTERM to SIGKILL for the planted fault EarlyKill
 )
 
-// terminate sends SIGTERM, SIGKILL at the earliest, and starts a new process.
+// terminate sends SIGTERM, then SIGKILL as early as the pages allow, and starts a new process.
 func (n *node) terminate(t Termination) {
 	w := n.world
 	if _, ok := n.signal(syscall.SIGTERM); !ok {
@@ -109,7 +108,7 @@
 	_ = n.launch(t.KnownAge)
 }
 
-// pause stops the process for a while.
+// pause stops the process for a time.
 func (n *node) pause(d time.Duration) {
 	if _, ok := n.signal(syscall.SIGSTOP); !ok {
 		return
@@ -127,11 +126,12 @@
 	}
 }
 
-// maxBetweenPauses is how long a process that is stopped twice runs between at the most.
+// maxBetweenPauses is how long a process that is stopped twice runs in between at most.
 const maxBetweenPauses = 50 * time.Millisecond
 
-// pauseTwice stops the process, and again once it has written an attempt or has had the time to. Danger: one that got no processor
-// time between would have been held up for longer than the pages allow, between its last look at a client and its write.
+// pauseTwice stops the process, and stops it again once it has written an attempt or has had the time to. Without the
+// run in between, a process that received no CPU time would have been held up for longer than the pages allow between
+// its last check of a client and its write.
 func (n *node) pauseTwice(d time.Duration) {
 	n.pause(d)
 	select {
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -12,12 +12,13 @@
 	"tealtiller/internal/lab/hostlist"
 )
 
-// start is where the clock of a run begins, so that what happened before the first process has a moment too.
+// start is the reading of the run's clock at which the run begins, so that events before the first process have a
+// positive time.
 const start = time.Minute
 
-// world is one run. One lock guards what its goroutines share.
+// world is the state of one run. One lock guards what its goroutines share.
 type world struct {
-	number  int // of the runs of this program
+	number  int // counts the runs of this program
 	script  *Script
 	options Options
 	origin  time.Time
@@ -37,7 +38,7 @@
 	events      []Event
 }
 
-// runCount counts the runCount of this program.
+// runCount counts the runs of this program.
 var runCount atomic.Int64
 
 // Play plays a script.
@@ -78,7 +79,7 @@
 	return w.result(), nil
 }
 
-// schedule starts all that the script tells, each at its time.
+// schedule starts a goroutine for each event of the script.
 func (w *world) schedule() {
 	s := w.script
 	for _, c := range s.Changes {
@@ -121,7 +122,7 @@
 	}
 }
 
-// at has something done at a moment of the script, unless the run has ended by then.
+// at runs an action at a time of the script, unless the run has ended by then.
 func (w *world) at(when time.Duration, action func()) {
 	w.group.Go(func() {
 		if w.sleepUntil(start + when) {
@@ -132,7 +133,7 @@
 
 func (w *world) now() time.Duration { return start + time.Since(w.origin) }
 
-// sleepUntil waits until a moment; false if the run has ended by then.
+// sleepUntil waits until a time; it returns false if the run ends first.
 func (w *world) sleepUntil(moment time.Duration) bool { return w.sleep(moment - w.now()) }
 
 func (w *world) sleep(d time.Duration) bool {
@@ -144,7 +145,7 @@
 	}
 }
 
-// fault is the trouble of a kind that a balancer has now; nil if it has none.
+// fault returns the fault of a kind that affects a balancer now; nil if there is none.
 func (w *world) fault(kind drainsearch.FaultKind, balancer int) *drainsearch.Fault {
 	now := w.now()
 	for i := range w.script.Faults {
@@ -157,7 +158,7 @@
 	return nil
 }
 
-// close ends the processes and the stand-ins.
+// close ends the balancer processes and the stand-ins.
 func (w *world) close() {
 	w.stop()
 	for _, n := range w.nodes {
@@ -169,4 +170,5 @@
 	w.group.Wait()
 }
 
+// never is a time that is not reached.
 const never = time.Duration(1<<63 - 1)
