--- a/internal/lab/drainaudit/audit.go
+++ b/internal/lab/drainaudit/audit.go
@@ -29,11 +29,11 @@
 
 // The time limits of the operators' pages.
 const (
-	slack          = 50 * time.Millisecond // tolerance added to each time limit, as the run uses sockets
-	notifiedWithin = 6 * time.Second       // after discovery had a change and could be reached, or after a watch fell silent
-	longPollMargin = 2 * time.Second       // after the maximum wait of a long poll that fell silent, if that is later
-	reloadLimit    = 4 * time.Second       // after a SIGHUP that names another discovery
-	watchGap       = 200 * time.Millisecond
+	slack          = 50 * time.Millisecond  // tolerance added to each time limit, as the run uses sockets
+	notifiedWithin = 6 * time.Second        // after discovery had a change and could be reached, or after a watch fell silent
+	longPollMargin = 2 * time.Second        // after the maximum wait of a long poll that fell silent, if that is later
+	reloadLimit    = 4 * time.Second        // after a SIGHUP that names another discovery
+	watchGap       = 200 * time.Millisecond // longest gap between two calls of a watch
 	// silentGap is the longest gap after a silent call to an agent for which the next call still belongs to the same
 	// silence: the gap between two calls of a watch plus the time for which a balancer may be held up.
 	silentGap        = watchGap + 200*time.Millisecond
--- a/internal/lab/drainsearch/calls.go
+++ b/internal/lab/drainsearch/calls.go
@@ -197,8 +197,8 @@
 	readable, revision := true, s.history.LatestRevision()
 	switch {
 	case c.since < 0 && !b.answered && (s.world.script.Pushed || s.activeFault(StaleList, b.number) != nil):
-		// These faults go unnoticed: an agent's first list cannot be checked, nor can a new process know that the first
-		// list of a discovery is old.
+		// The answer is left as it is. A new process could not know what an unreadable answer of its agent withheld, nor that
+		// the first list from discovery is an old one.
 	case s.activeFault(Truncated, b.number) != nil:
 		body, readable = body[:len(body)/2], false
 	case s.activeFault(Garbled, b.number) != nil:
@@ -207,7 +207,8 @@
 		body, readable = s.history.DuplicateHostAnswer(), false
 	case s.activeFault(StaleList, b.number) != nil && s.history.LatestRevision() > 0:
 		revision = s.history.LatestRevision() / 2
-		body, readable = s.history.FullList(revision), revision >= b.answeredRevision // a list no older than the last one received is merely late
+		// A list no older than the last one received is merely late.
+		body, readable = s.history.FullList(revision), revision >= b.answeredRevision
 	}
 	if readable {
 		b.answered, b.answeredRevision = true, revision
--- a/internal/lab/drainsearch/draw.go
+++ b/internal/lab/drainsearch/draw.go
@@ -87,7 +87,7 @@
 // How long the answers of an agent, and of discovery, are unreadable. If they were unreadable until a change counts as
 // notified, no balancer could keep the rule.
 const (
-	agentUnreadable = 20 * ms
+	agentUnreadable = 20 * ms // short enough for one answer
 	maxUnreadable   = 500 * ms
 )
 
