--- a/cmd/lab/soak.go
+++ b/cmd/lab/soak.go
@@ -63,11 +63,11 @@
 				return
 			}
 			run := filepath.Join(folder, fmt.Sprint(i))
-			result, err := soak.Play(script, soak.Options{Binary: c.Binary, Folder: run, Plant: plant})
+			result, err := soak.Play(script, soak.Options{Binary: c.Binary, Folder: run, PlantedFault: plant})
 			mu.Lock()
 			defer mu.Unlock()
 			figures.add(out, seed, result, err)
-			if err == nil && len(result.Breaks) > 0 && c.Folder != "" {
+			if err == nil && len(result.Violations) > 0 && c.Folder != "" {
 				if err := saveRun(filepath.Join(c.Folder, fmt.Sprint(seed)), run, script, result); err != nil {
 					fmt.Fprintln(out, err)
 				}
@@ -85,16 +85,16 @@
 	return nil
 }
 
-func (c soakCommand) plantedFault() (soak.Plant, error) {
+func (c soakCommand) plantedFault() (soak.PlantedFault, error) {
 	if c.Plant == "" {
-		return soak.Nothing, nil
+		return soak.NoPlantedFault, nil
 	}
-	for _, p := range soak.Plants() {
+	for _, p := range soak.PlantedFaults() {
 		if p.String() == c.Plant {
 			return p, nil
 		}
 	}
-	return soak.Nothing, fmt.Errorf("unknown planted fault %q", c.Plant)
+	return soak.NoPlantedFault, fmt.Errorf("unknown planted fault %q", c.Plant)
 }
 
 // script reads the script of the file, if one is given, or draws the script of a seed.
@@ -124,18 +124,18 @@
 	f.Requests += result.Requests
 	f.Attempts += result.Attempts
 	f.Lines += result.Lines
-	f.LateMS = max(f.LateMS, result.Late.Milliseconds())
+	f.LateMS = max(f.LateMS, result.MaxSchedulingDelay.Milliseconds())
 	for _, answer := range slices.Sorted(maps.Keys(result.Answers)) {
 		f.Answers[answer] += result.Answers[answer]
 	}
 	verdict := "no rule broken"
-	if len(result.Breaks) > 0 {
+	if len(result.Violations) > 0 {
 		f.Broken++
-		verdict = fmt.Sprintf("%d BROKEN", len(result.Breaks))
+		verdict = fmt.Sprintf("%d BROKEN", len(result.Violations))
 	}
 	fmt.Fprintf(out, "seed %d: %s; %d requests, %d attempts, %d lines, own scheduling delay at most %v\n",
-		seed, verdict, result.Requests, result.Attempts, result.Lines, result.Late)
-	for _, b := range result.Breaks {
+		seed, verdict, result.Requests, result.Attempts, result.Lines, result.MaxSchedulingDelay)
+	for _, b := range result.Violations {
 		f.Rules[b.Rule]++
 		fmt.Fprintf(out, "  %s\n", b)
 	}
--- a/cmd/tealtiller/soak_test.go
+++ b/cmd/tealtiller/soak_test.go
@@ -42,10 +42,10 @@
 	script.Changes = []drainsearch.Change{{At: 3500 * ms, Host: 0, Phase: drainaudit.Terminating}}
 	for i := range 200 { // from before the drain to the end
 		script.Requests = append(script.Requests, drainsearch.Request{At: 1200*ms + time.Duration(i)*60*ms, Balancer: i % 2, Key: uint64(i),
-			TTL: 1200 * ms, Class: "safe", Answers: []drainsearch.Answer{drainsearch.Up}})
+			TTL: 1200 * ms, Class: "safe", Answers: []drainsearch.Answer{drainsearch.AnswerUp}})
 	}
 	result := playOnProcesses(t, script)
-	for _, b := range result.Breaks {
+	for _, b := range result.Violations {
 		t.Error(b)
 	}
 	assert.Greater(t, result.Answers["UP"], 100, "requests served")
@@ -58,7 +58,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			result := playOnProcesses(t, soak.Draw(seed))
-			for _, b := range result.Breaks {
+			for _, b := range result.Violations {
 				if b.Rule == soak.DrainReadStrictly {
 					t.Log(b)
 					continue
@@ -78,7 +78,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			result := playOnProcesses(t, soak.Draw(seed))
-			for _, b := range result.Breaks {
+			for _, b := range result.Violations {
 				t.Error(b)
 			}
 			assert.Greater(t, result.Answers["UP"], 80, "requests served")
@@ -94,7 +94,7 @@
 		t.Run(fmt.Sprint(seed), func(t *testing.T) {
 			t.Parallel()
 			result := playOnProcesses(t, soak.DrawCrossings(seed))
-			for _, b := range result.Breaks {
+			for _, b := range result.Violations {
 				t.Error(b)
 			}
 			assert.Greater(t, result.Attempts, 80, "attempts judged")
@@ -104,19 +104,19 @@
 
 // The checker finds each planted fault in a single run.
 func TestSoakFindsPlantedFaults(t *testing.T) {
-	for _, plant := range []soak.Plant{soak.LongerGrace, soak.EarlyKill, soak.MoreAttempts, soak.SafeClasses, soak.LongerWindow} {
+	for _, plant := range []soak.PlantedFault{soak.LongerGrace, soak.EarlyKill, soak.MoreAttempts, soak.SafeClasses, soak.LongerWindow} {
 		t.Run(plant.String(), func(t *testing.T) {
 			t.Parallel()
-			result, err := soak.Play(plantableScript(), soak.Options{Binary: os.Args[0], Env: []string{"TEST_AS_PROGRAM=1"}, Folder: t.TempDir(), Plant: plant})
+			result, err := soak.Play(plantableScript(), soak.Options{Binary: os.Args[0], Env: []string{"TEST_AS_PROGRAM=1"}, Folder: t.TempDir(), PlantedFault: plant})
 			require.NoError(t, err)
-			rules := map[soak.Plant]string{soak.LongerGrace: "drain", soak.EarlyKill: "lost", soak.MoreAttempts: "attempts",
+			rules := map[soak.PlantedFault]string{soak.LongerGrace: "drain", soak.EarlyKill: "lost", soak.MoreAttempts: "attempts",
 				soak.SafeClasses: "duplicate", soak.LongerWindow: "duplicate"}
-			assert.True(t, slices.ContainsFunc(result.Breaks, func(b soak.Break) bool { return b.Rule == rules[plant] }), "%v", result.Breaks)
+			assert.True(t, slices.ContainsFunc(result.Violations, func(b soak.Violation) bool { return b.Rule == rules[plant] }), "%v", result.Violations)
 		})
 	}
 	t.Run("no fault planted", func(t *testing.T) {
 		t.Parallel()
-		assert.Empty(t, playOnProcesses(t, plantableScript()).Breaks)
+		assert.Empty(t, playOnProcesses(t, plantableScript()).Violations)
 	})
 }
 
@@ -131,17 +131,17 @@
 	}
 	s.Changes = []drainsearch.Change{{At: 2 * time.Second, Host: 0, Phase: drainaudit.Terminating}, {At: 2 * time.Second, Host: 1, Phase: drainaudit.Terminating}}
 	for i := range 30 { // mid-flow requests may go to a draining host within its grace period
-		request(2300*ms+time.Duration(i)*30*ms, "safe", drainsearch.Up)
+		request(2300*ms+time.Duration(i)*30*ms, "safe", drainsearch.AnswerUp)
 		s.Requests[len(s.Requests)-1].MidFlow = true
 	}
 	for i := range 6 { // refused by the first hosts, so that all attempts are used
-		request(time.Second+time.Duration(i)*100*ms, "safe", drainsearch.Errs, drainsearch.Errs, drainsearch.Errs, drainsearch.Errs)
-		request(time.Second+time.Duration(i)*100*ms, "unsafe", drainsearch.Errs, drainsearch.Errs)
-		request(time.Second+time.Duration(i)*100*ms, "keyed", drainsearch.Nothing, drainsearch.Up)
+		request(time.Second+time.Duration(i)*100*ms, "safe", drainsearch.AnswerErr, drainsearch.AnswerErr, drainsearch.AnswerErr, drainsearch.AnswerErr)
+		request(time.Second+time.Duration(i)*100*ms, "unsafe", drainsearch.AnswerErr, drainsearch.AnswerErr)
+		request(time.Second+time.Duration(i)*100*ms, "keyed", drainsearch.AnswerNone, drainsearch.AnswerUp)
 	}
 	s.Terminations = []soak.Termination{{At: 6500 * ms, Balancer: 0}}
 	for range 5 {
-		request(6400*ms, "safe", drainsearch.Nothing, drainsearch.Up)
+		request(6400*ms, "safe", drainsearch.AnswerNone, drainsearch.AnswerUp)
 	}
 	return s
 }
--- a/internal/lab/drainsearch/attempt.go
+++ b/internal/lab/drainsearch/attempt.go
@@ -81,7 +81,7 @@
 // connected writes the first line, unless the last check before the write forbids it.
 func (b *balancer) connected(now time.Duration, a *attempt, answer Answer) {
 	result, ok := b.table.MayWrite(now, a.client.id, a.deadline, func() bool { return a.client.left })
-	if !ok && !b.world.options.NoGate {
+	if !ok && !b.world.options.SkipLastCheck {
 		b.attemptEnded(a, result)
 		return
 	}
@@ -94,13 +94,13 @@
 		b.world.explain("BROKEN: %v", violation)
 	}
 	switch answer {
-	case Up:
+	case AnswerUp:
 		b.scheduleForAttempt(a, 2*ms, func(now time.Duration) { b.established(now, a) })
-	case Errs:
+	case AnswerErr:
 		b.scheduleForAttempt(a, 2*ms, func(time.Duration) { b.attemptEnded(a, policy.Error) })
-	case Busy:
+	case AnswerBusy:
 		b.scheduleForAttempt(a, 2*ms, func(time.Duration) { b.attemptEnded(a, policy.Rejected) })
-	case Resets:
+	case AnswerReset:
 		b.scheduleForAttempt(a, 2*ms, func(time.Duration) { b.attemptEnded(a, policy.Reset) })
 	}
 }
--- a/internal/lab/drainsearch/draw.go
+++ b/internal/lab/drainsearch/draw.go
@@ -159,7 +159,7 @@
 				connect = rnd.between(0, s.Connect*6/5)
 			}
 			r.Connect = append(r.Connect, connect)
-			r.Answers = append(r.Answers, pick(rnd, Up, Up, Up, Answer(rnd.IntN(int(answerCount)))))
+			r.Answers = append(r.Answers, pick(rnd, AnswerUp, AnswerUp, AnswerUp, Answer(rnd.IntN(int(answerCount)))))
 		}
 		if rnd.withProbability(0.05) {
 			r.Leaves = rnd.between(ms, r.TTL)
--- a/internal/lab/drainsearch/regressions_test.go
+++ b/internal/lab/drainsearch/regressions_test.go
@@ -41,7 +41,7 @@
 func (s *Script) withRequests(at, connect time.Duration, midFlow bool) *Script {
 	for key := range uint64(12) {
 		s.Requests = append(s.Requests, Request{At: at, Key: key, MidFlow: midFlow, TTL: 2 * time.Second, Class: "safe",
-			Connect: []time.Duration{connect}, Answers: []Answer{Up}})
+			Connect: []time.Duration{connect}, Answers: []Answer{AnswerUp}})
 	}
 	return s
 }
--- a/internal/lab/drainsearch/script.go
+++ b/internal/lab/drainsearch/script.go
@@ -95,11 +95,11 @@
 
 // The answers.
 const (
-	Up Answer = iota
-	Errs
-	Busy
-	Resets
-	Nothing
+	AnswerUp Answer = iota
+	AnswerErr
+	AnswerBusy
+	AnswerReset
+	AnswerNone
 	answerCount
 )
 
--- a/internal/lab/drainsearch/search.go
+++ b/internal/lab/drainsearch/search.go
@@ -11,22 +11,22 @@
 
 // FailingScript is a script that breaks the rule under any reading of the pages.
 type FailingScript struct {
-	Seed   uint64
-	Script *Script
-	Break  *drainaudit.Violation
+	Seed      uint64
+	Script    *Script
+	Violation *drainaudit.Violation
 }
 
 // Result is the outcome of a search.
 type Result struct {
-	Sequences int
-	Sent      int // first bytes judged
-	Found     []FailingScript
-	Excused   map[string]int // by lenient reading: sequences with a violation that this reading would allow
+	Sequences      int
+	Sent           int // first bytes judged
+	FailingScripts []FailingScript
+	Excused        map[string]int // by lenient reading: sequences with a violation that this reading would allow
 }
 
 // Broken returns how many sequences broke the rule, those included that a lenient reading would allow.
 func (t *Result) Broken() (n int) {
-	n = len(t.Found)
+	n = len(t.FailingScripts)
 	for _, count := range t.Excused {
 		n += count
 	}
@@ -77,7 +77,7 @@
 	}
 	group.Wait()
 	slices.SortFunc(found, func(a, b FailingScript) int { return int(a.Seed) - int(b.Seed) })
-	return Result{Sequences: int(played.Load()), Sent: int(sent.Load()), Found: found, Excused: excused}
+	return Result{Sequences: int(played.Load()), Sent: int(sent.Load()), FailingScripts: found, Excused: excused}
 }
 
 // Shrink removes events from a script, one part after the other, as long as the rest still breaks the rule.
--- a/internal/lab/drainsearch/search_test.go
+++ b/internal/lab/drainsearch/search_test.go
@@ -20,8 +20,8 @@
 	assert.Equal(t, shortSearch, tally.Sequences)
 	assert.Greater(t, tally.Sent, 20*shortSearch, "first bytes judged")
 	assert.Empty(t, tally.Excused)
-	for _, f := range tally.Found {
-		t.Errorf("seed %d: %v", f.Seed, f.Break)
+	for _, f := range tally.FailingScripts {
+		t.Errorf("seed %d: %v", f.Seed, f.Violation)
 	}
 }
 
@@ -30,7 +30,7 @@
 // silent.
 func TestNoSequenceBreaksTheRuleReadStrictly(t *testing.T) {
 	tally := Search(1, shortSearch, 2, time.Time{}, Options{})
-	assert.Empty(t, tally.Found, "under any reading")
+	assert.Empty(t, tally.FailingScripts, "under any reading")
 	assert.Empty(t, tally.Excused, "under a strict reading")
 }
 
@@ -66,12 +66,12 @@
 // plays.
 func TestInjectedFaultsAreFound(t *testing.T) {
 	for name, injected := range map[string]Options{
-		"the last check before the first byte is left out": {NoGate: true},
+		"the last check before the first byte is left out": {SkipLastCheck: true},
 		"the grace is ignored":                             {IgnoresGrace: true},
 		"each call to discovery is made a second late":     {LateCalls: time.Second},
 	} {
 		t.Run(name, func(t *testing.T) {
-			assert.NotEmpty(t, Search(1, shortSearch, 2, time.Time{}, injected).Found)
+			assert.NotEmpty(t, Search(1, shortSearch, 2, time.Time{}, injected).FailingScripts)
 		})
 	}
 }
@@ -79,7 +79,7 @@
 // Shrink reduces a script that breaks the rule to the events that the violation needs.
 func TestShrinkKeepsTheViolation(t *testing.T) {
 	injected := Options{IgnoresGrace: true}
-	found := Search(1, shortSearch, 2, time.Time{}, injected).Found
+	found := Search(1, shortSearch, 2, time.Time{}, injected).FailingScripts
 	if !assert.NotEmpty(t, found) {
 		return
 	}
--- a/internal/lab/drainsearch/world.go
+++ b/internal/lab/drainsearch/world.go
@@ -11,11 +11,11 @@
 
 // Options inject a fault into the code around the balancer, to check that the search finds it.
 type Options struct {
-	NoGate       bool                  // the first byte is written without the last check
-	IgnoresGrace bool                  // the balancer uses a grace that is a second too long
-	Exempt       drainaudit.Exemptions // of the judge; none for a strict one
-	LateCalls    time.Duration         // delay added to each call to discovery
-	Explain      func(format string, args ...any)
+	SkipLastCheck bool                  // the first byte is written without the last check
+	IgnoresGrace  bool                  // the balancer uses a grace that is a second too long
+	Exempt        drainaudit.Exemptions // of the judge; none for a strict one
+	LateCalls     time.Duration         // delay added to each call to discovery
+	Explain       func(format string, args ...any)
 }
 
 // world is the state of one run of a script.
--- a/internal/lab/soak/client.go
+++ b/internal/lab/soak/client.go
@@ -161,7 +161,7 @@
 	if err == nil && strings.HasPrefix(line, "OK ") {
 		q.lines++
 		if took := w.now() - sent; took > maxLineDelay+w.jitter.around(w.now()) && !w.hostDisturbed(q) {
-			w.recordViolation(Break{Rule: "held", At: sent - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("a line came back after %v", took)})
+			w.recordViolation(Violation{Rule: "held", At: sent - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("a line came back after %v", took)})
 		}
 	}
 	return line, err
@@ -176,12 +176,12 @@
 	switch {
 	case w.ctx.Err() != nil, err == nil && (word == "MOVE" || word == "BYE"):
 	case timedOut(err) && !w.hostDisturbed(q):
-		w.recordViolation(Break{Rule: "silent", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: "nothing came back for 7 s"})
+		w.recordViolation(Violation{Rule: "silent", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: "nothing came back for 7 s"})
 	case w.excuse(q, q.endedAt) != "" || w.hostDisturbed(q):
 	case err == nil:
-		w.recordViolation(Break{Rule: "answers", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("an established connection received %q", line)})
+		w.recordViolation(Violation{Rule: "answers", At: q.endedAt - start, Node: q.node.name, Request: q.id, What: fmt.Sprintf("an established connection received %q", line)})
 	default:
-		w.recordViolation(Break{Rule: "lost", At: q.endedAt - start, Node: q.node.name, Request: q.id,
+		w.recordViolation(Violation{Rule: "lost", At: q.endedAt - start, Node: q.node.name, Request: q.id,
 			What: fmt.Sprintf("an established connection was cut off without MOVE: %v", err)})
 	}
 }
--- a/internal/lab/soak/crossings.go
+++ b/internal/lab/soak/crossings.go
@@ -99,5 +99,5 @@
 // drawRequest draws a plain request that a host answers with UP.
 func (rnd randomSource) drawRequest(s *Script, at time.Duration, balancer int) drainsearch.Request {
 	return drainsearch.Request{At: at, Balancer: balancer, Key: rnd.Uint64N(1 << 20), TTL: s.Deadline,
-		Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.Up}}
+		Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.AnswerUp}}
 }
--- a/internal/lab/soak/discovery.go
+++ b/internal/lab/soak/discovery.go
@@ -136,7 +136,7 @@
 // handleCall answers one call; it returns false if the connection is of no further use.
 func (e *endpoint) handleCall(d *discoveryConn, request *http.Request, disconnected <-chan struct{}) bool {
 	w, n := e.node.world, e.node
-	if w.options.Plant == LateCalls && !w.sleep(time.Second) {
+	if w.options.PlantedFault == LateCalls && !w.sleep(time.Second) {
 		return false
 	}
 	since, wait := parseCall(request)
--- a/internal/lab/soak/draw.go
+++ b/internal/lab/soak/draw.go
@@ -108,7 +108,7 @@
 func (rnd randomSource) addTraffic(s *Script) {
 	for at := 500 * ms; at < s.Length-2*time.Second; at += rnd.between(100*ms, 400*ms) {
 		s.Requests = append(s.Requests, drainsearch.Request{At: at, Balancer: rnd.IntN(s.Balancers), Key: rnd.Uint64N(40), TTL: s.Deadline,
-			Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.Up}})
+			Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{drainsearch.AnswerUp}})
 	}
 	for _, c := range s.Changes { // clients that arrive as the grace of a drain ends
 		if c.Phase == drainaudit.InService || c.At < 0 {
@@ -116,13 +116,13 @@
 		}
 		for range 4 * s.Balancers {
 			s.Requests = append(s.Requests, drainsearch.Request{At: c.At + s.Grace + rnd.between(50*ms, 1500*ms), Balancer: rnd.IntN(s.Balancers),
-				Key: rnd.Uint64N(1 << 20), TTL: s.Deadline, Class: "safe", MidFlow: rnd.withProbability(0.5), Answers: []drainsearch.Answer{drainsearch.Up}})
+				Key: rnd.Uint64N(1 << 20), TTL: s.Deadline, Class: "safe", MidFlow: rnd.withProbability(0.5), Answers: []drainsearch.Answer{drainsearch.AnswerUp}})
 		}
 	}
 	for _, t := range s.Terminations { // clients that arrive as the balancer receives SIGTERM
 		for range 10 {
 			s.Requests = append(s.Requests, drainsearch.Request{At: t.At - 200*ms + rnd.between(0, 400*ms), Balancer: t.Balancer, Key: rnd.Uint64N(40),
-				TTL: s.Deadline, Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{pick(rnd, drainsearch.Up, drainsearch.Up, drainsearch.Nothing)}})
+				TTL: s.Deadline, Class: pick(rnd, "safe", "keyed", "unsafe"), Answers: []drainsearch.Answer{pick(rnd, drainsearch.AnswerUp, drainsearch.AnswerUp, drainsearch.AnswerNone)}})
 		}
 	}
 }
--- a/internal/lab/soak/host_answers.go
+++ b/internal/lab/soak/host_answers.go
@@ -48,13 +48,13 @@
 	drains := h.listed.Phase != drainaudit.InService
 	w.mu.Unlock()
 	switch scripted := a.request.nextAnswer(len(a.request.attempts) - 1); {
-	case h.hasFault(HostHangs) || scripted == drainsearch.Nothing:
+	case h.hasFault(HostHangs) || scripted == drainsearch.AnswerNone:
 		h.awaitEnd(r, a)
-	case drains || scripted == drainsearch.Busy:
+	case drains || scripted == drainsearch.AnswerBusy:
 		h.sendFinal(c, r, a, "BUSY", resultNotExecuted)
-	case scripted == drainsearch.Errs:
+	case scripted == drainsearch.AnswerErr:
 		h.sendFinal(c, r, a, "ERR", resultMaybeExecuted)
-	case scripted == drainsearch.Resets:
+	case scripted == drainsearch.AnswerReset:
 		w.attemptEnded(a, resultMaybeExecuted)
 		reset(c)
 	default:
--- a/internal/lab/soak/node.go
+++ b/internal/lab/soak/node.go
@@ -80,7 +80,7 @@
 // config returns the text of the balancer's configuration.
 func (n *node) config() string {
 	w, s := n.world, n.world.script
-	grace, attempts, dedup, plant := s.Grace, s.MaxAttempts, dedupWindow, w.options.Plant
+	grace, attempts, dedup, plant := s.Grace, s.MaxAttempts, dedupWindow, w.options.PlantedFault
 	switch plant {
 	case LongerGrace:
 		grace += time.Second
@@ -164,7 +164,7 @@
 	defer w.mu.Unlock()
 	w.recordEvent(Event{Node: n.name, What: fmt.Sprintf("process %d has ended: %v", process, err)})
 	if unexpected && w.ctx.Err() == nil {
-		w.recordViolation(Break{Rule: "crash", At: w.now() - start, Node: n.name, What: fmt.Sprintf("process %d ended: %v", process, err)})
+		w.recordViolation(Violation{Rule: "crash", At: w.now() - start, Node: n.name, What: fmt.Sprintf("process %d ended: %v", process, err)})
 	}
 }
 
@@ -189,7 +189,7 @@
 	}
 	if w.ctx.Err() == nil && n.isRunning(process) {
 		w.mu.Lock()
-		w.recordViolation(Break{Rule: "ready", At: w.now() - start, Node: n.name, What: "not ready within 10 s"})
+		w.recordViolation(Violation{Rule: "ready", At: w.now() - start, Node: n.name, What: "not ready within 10 s"})
 		w.mu.Unlock()
 	}
 }
--- a/internal/lab/soak/requests.go
+++ b/internal/lab/soak/requests.go
@@ -63,7 +63,7 @@
 	if number < len(q.script.Answers) {
 		return q.script.Answers[number]
 	}
-	return drainsearch.Up
+	return drainsearch.AnswerUp
 }
 
 // newRequest records a request that is about to be sent.
@@ -85,7 +85,7 @@
 	defer w.mu.Unlock()
 	q := w.requests[id]
 	if q == nil {
-		w.recordViolation(Break{Rule: "malformed", At: at - start, Host: h.listed.ID, Request: id, What: "an attempt for a request that nobody sent"})
+		w.recordViolation(Violation{Rule: "malformed", At: at - start, Host: h.listed.ID, Request: id, What: "an attempt for a request that nobody sent"})
 		return nil
 	}
 	a := &attempt{request: q, host: h, conn: c, beganAt: at, endedAt: never}
@@ -130,5 +130,5 @@
 	if !strings.HasSuffix(line, "\n") { // the balancer abandoned the attempt while it wrote the line
 		return
 	}
-	w.recordViolation(Break{Rule: "malformed", At: w.now() - start, Host: h.listed.ID, What: fmt.Sprintf("first line %q", line)})
+	w.recordViolation(Violation{Rule: "malformed", At: w.now() - start, Host: h.listed.ID, What: fmt.Sprintf("first line %q", line)})
 }
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -7,8 +7,8 @@
 	"time"
 )
 
-// Break is a violation of a rule.
-type Break struct {
+// Violation is a violation of a rule.
+type Violation struct {
 	Rule    string
 	At      time.Duration
 	Node    string
@@ -17,7 +17,7 @@
 	What    string
 }
 
-func (b Break) String() string {
+func (b Violation) String() string {
 	return fmt.Sprintf("%8.3f  %s: %s (balancer %s, host %s, request %s)", b.At.Seconds(), b.Rule, b.What, b.Node, b.Host, b.Request)
 }
 
@@ -37,13 +37,13 @@
 
 // Result is what was observed in a run.
 type Result struct {
-	Breaks   []Break
-	Requests int
-	Answers  map[string]int // by first word; "none" for a request without an answer
-	Attempts int
-	Lines    int           // answered on established connections
-	Late     time.Duration // the longest scheduling delay of the run's own goroutines
-	Events   []Event
+	Violations         []Violation
+	Requests           int
+	Answers            map[string]int // by first word; "none" for a request without an answer
+	Attempts           int
+	Lines              int           // answered on established connections
+	MaxSchedulingDelay time.Duration // the longest scheduling delay of the run's own goroutines
+	Events             []Event
 }
 
 // recordEvent adds an event to the record of the run. The caller holds the lock.
@@ -53,7 +53,7 @@
 }
 
 // recordViolation records a violation of a rule. The caller holds the lock.
-func (w *world) recordViolation(b Break) {
+func (w *world) recordViolation(b Violation) {
 	w.violations = append(w.violations, b)
 	w.recordEvent(Event{Node: b.Node, Host: b.Host, Request: b.Request, What: "BROKEN " + b.Rule + ": " + b.What})
 }
@@ -62,7 +62,7 @@
 func (w *world) result() *Result {
 	w.mu.Lock()
 	defer w.mu.Unlock()
-	r := &Result{Breaks: w.violations, Answers: map[string]int{}, Late: w.jitter.longest(0, never), Events: w.events}
+	r := &Result{Violations: w.violations, Answers: map[string]int{}, MaxSchedulingDelay: w.jitter.longest(0, never), Events: w.events}
 	for _, q := range w.requests {
 		if !q.sent() {
 			continue
@@ -72,6 +72,6 @@
 		r.Attempts += len(q.attempts)
 		r.Lines += q.lines
 	}
-	slices.SortFunc(r.Breaks, func(a, b Break) int { return int(a.At - b.At) })
+	slices.SortFunc(r.Violations, func(a, b Violation) int { return int(a.At - b.At) })
 	return r
 }
--- a/internal/lab/soak/rules.go
+++ b/internal/lab/soak/rules.go
@@ -34,15 +34,15 @@
 			if violation.Excuse() != "" {
 				rule = DrainReadStrictly
 			}
-			w.recordViolation(Break{Rule: rule, At: a.beganAt - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id, What: violation.Error()})
+			w.recordViolation(Violation{Rule: rule, At: a.beganAt - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id, What: violation.Error()})
 		}
 	}
 	if q.leftAt > 0 && a.beganAt > q.leftAt+leftSlack+tolerance {
-		w.recordViolation(Break{Rule: "left", At: a.beganAt - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id,
+		w.recordViolation(Violation{Rule: "left", At: a.beganAt - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id,
 			What: fmt.Sprintf("an attempt %v after its client left", a.beganAt-q.leftAt)})
 	}
 	if n := len(q.attempts); n > w.script.MaxAttempts {
-		w.recordViolation(Break{Rule: "attempts", At: a.beganAt - start, Node: q.node.name, Request: q.id,
+		w.recordViolation(Violation{Rule: "attempts", At: a.beganAt - start, Node: q.node.name, Request: q.id,
 			What: fmt.Sprintf("%d attempts of %d", n, w.script.MaxAttempts)})
 	}
 }
@@ -63,7 +63,7 @@
 	for i, a := range q.attempts[:max(len(q.attempts)-1, 0)] {
 		next := q.attempts[i+1]
 		if overlap := a.endedAt - next.beganAt; overlap > w.jitter.around(next.beganAt) && !w.nodeKilledBefore(q, next.beganAt) {
-			w.recordViolation(Break{Rule: "in flight", At: next.beganAt - start, Node: q.node.name, Request: q.id,
+			w.recordViolation(Violation{Rule: "in flight", At: next.beganAt - start, Node: q.node.name, Request: q.id,
 				What: fmt.Sprintf("attempts %d and %d were in progress together for %v", i+1, i+2, overlap)})
 		}
 	}
@@ -79,7 +79,7 @@
 		since := a.beganAt - q.attempts[first].beganAt
 		doubled := q.script.Class == "unsafe" || q.script.Class == "keyed" && since > dedupWindow+slack+w.jitter.around(a.beganAt)
 		if doubled {
-			w.recordViolation(Break{Rule: "duplicate", At: a.beganAt - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id,
+			w.recordViolation(Violation{Rule: "duplicate", At: a.beganAt - start, Node: q.node.name, Host: a.host.listed.ID, Request: q.id,
 				What: fmt.Sprintf("a further attempt of a request of class %s %v after one that may have run", q.script.Class, since)})
 			return
 		}
@@ -107,7 +107,7 @@
 }
 
 func (w *world) requestViolation(rule string, q *requestRecord, what string) {
-	w.recordViolation(Break{Rule: rule, At: max(q.answeredAt, q.endedAt, q.sentAt) - start, Node: q.node.name, Request: q.id, What: what})
+	w.recordViolation(Violation{Rule: rule, At: max(q.answeredAt, q.endedAt, q.sentAt) - start, Node: q.node.name, Request: q.id, What: what})
 }
 
 // wasGiven reports whether a host gave this answer.
--- a/internal/lab/soak/script.go
+++ b/internal/lab/soak/script.go
@@ -89,34 +89,34 @@
 	Binary string   // path of the balancer's program
 	Env    []string // additions to the environment of its processes
 	Folder string   // for configurations and logs
-	// Plant is a fault in the run's own configuration that the judge has to find.
-	Plant Plant
+	// PlantedFault is a fault in the run's own configuration that the judge has to find.
+	PlantedFault PlantedFault
 }
 
-// Plant is a planted fault.
-type Plant int
+// PlantedFault is a planted fault.
+type PlantedFault int
 
 // The planted faults. Each is a setting or a signal that differs from what the judge assumes.
 const (
-	Nothing      Plant = iota
-	LongerGrace        // the balancer's drain grace is 1 s longer
-	LateCalls          // its calls to discovery arrive 1 s late
-	MoreAttempts       // it may make two more attempts
-	LongerWindow       // its deduplication window is 3 s longer
-	EarlyKill          // it is killed 0.1 s after SIGTERM
-	SafeClasses        // it takes requests of all classes as repeatable
+	NoPlantedFault PlantedFault = iota
+	LongerGrace                 // the balancer's drain grace is 1 s longer
+	LateCalls                   // its calls to discovery arrive 1 s late
+	MoreAttempts                // it may make two more attempts
+	LongerWindow                // its deduplication window is 3 s longer
+	EarlyKill                   // it is killed 0.1 s after SIGTERM
+	SafeClasses                 // it takes requests of all classes as repeatable
 	plantCount
 )
 
 // plantNames are the names of the planted faults.
-var plantNames = map[Plant]string{LongerGrace: "longer_grace", LateCalls: "late_calls", MoreAttempts: "more_attempts",
+var plantNames = map[PlantedFault]string{LongerGrace: "longer_grace", LateCalls: "late_calls", MoreAttempts: "more_attempts",
 	LongerWindow: "longer_window", EarlyKill: "early_kill", SafeClasses: "safe_classes"}
 
 // String returns the name of a planted fault.
-func (p Plant) String() string { return plantNames[p] }
+func (p PlantedFault) String() string { return plantNames[p] }
 
-// Plants returns all planted faults.
-func Plants() (all []Plant) {
+// PlantedFaults returns all planted faults.
+func PlantedFaults() (all []PlantedFault) {
 	for p := LongerGrace; p < plantCount; p++ {
 		all = append(all, p)
 	}
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -84,7 +84,7 @@
 	}
 	n.recordEvent("SIGTERM")
 	killAt := w.now() + min(w.script.Deadline, maxDeadline) + killMargin
-	if w.options.Plant == EarlyKill {
+	if w.options.PlantedFault == EarlyKill {
 		killAt = w.now() + earlyKill
 	}
 	if !w.sleep(frontReaction) {
--- a/internal/lab/soak/world.go
+++ b/internal/lab/soak/world.go
@@ -34,7 +34,7 @@
 	hosts       []*host
 	nodes       []*node
 	requests    map[string]*requestRecord
-	violations  []Break
+	violations  []Violation
 	events      []Event
 }
 
