--- a/cmd/lab/main.go
+++ b/cmd/lab/main.go
@@ -212,7 +212,7 @@
 	for {
 		select {
 		case <-signals:
-			fmt.Fprintln(out, "stopping")
+			fmt.Fprintln(out, "ending")
 			return nil
 		case <-ended:
 			return nil
