--- a/internal/lab/drainaudit/audit.go
+++ b/internal/lab/drainaudit/audit.go
@@ -87,24 +87,24 @@
 }
 
 // Excuse names the lenient reading of the pages that would allow the byte; it is empty if none does.
-func (b *Violation) Excuse() string {
-	if b.OnlyCombined {
+func (v *Violation) Excuse() string {
+	if v.OnlyCombined {
 		return "several readings together"
 	}
-	return b.Exemptions.String()
+	return v.Exemptions.String()
 }
 
 // MakeRelativeTo makes all times of the violation relative to an origin.
-func (b *Violation) MakeRelativeTo(origin time.Duration) {
-	for _, at := range []*time.Duration{&b.Sent, &b.Notified, &b.Published, &b.Started} {
+func (v *Violation) MakeRelativeTo(origin time.Duration) {
+	for _, at := range []*time.Duration{&v.Sent, &v.Notified, &v.Published, &v.Started} {
 		*at -= origin
 	}
 }
 
-func (b *Violation) Error() string {
+func (v *Violation) Error() string {
 	text := fmt.Sprintf("process %d (started %v) sent to %s at %v, %v too late: discovery had the drain at %v, notified at %v (%s)",
-		b.Process, b.Started, b.Host, b.Sent, b.Late, b.Published, b.Notified, b.Clock)
-	if excuse := b.Excuse(); excuse != "" {
+		v.Process, v.Started, v.Host, v.Sent, v.Late, v.Published, v.Notified, v.Clock)
+	if excuse := v.Excuse(); excuse != "" {
 		text += "; only a lenient reading excuses it: " + excuse
 	}
 	return text
--- a/internal/lab/drainaudit/exemption.go
+++ b/internal/lab/drainaudit/exemption.go
@@ -11,8 +11,8 @@
 	// RefusedCalls: a refused call shows that discovery could not be reached until then, though discovery may also
 	// refuse because it is overloaded.
 	RefusedCalls Exemptions = 1 << iota
-	// FirstCalls: while the first call of a process is open, and if it is answered late or fails, the changes from
-	// before the start of the process count as notified correspondingly later.
+	// FirstCalls: the first call of a process postpones the changes that otherwise count as notified at its start: to
+	// the answer, to 6 s after the start if the call fails, for as long as it is open, and by its silence.
 	FirstCalls
 	// FurtherSilence: each further consecutive call that falls silent postpones the notification as the first one does.
 	FurtherSilence
--- a/internal/lab/drainaudit/notified.go
+++ b/internal/lab/drainaudit/notified.go
@@ -52,8 +52,8 @@
 
 // agentDeadline returns when a change counts as notified where lists are pushed: as soon as the agent has it, whether
 // or not a watch is open, but not before the process starts. What the agent receives at the end of an outage counts at
-// once; after SIGHUP a change counts 4 s later. A change that a silent watch missed counts 6 s after the watch fell
-// silent.
+// once; a change that would count within 4 s after a SIGHUP counts at the end of these 4 s. A change that a silent watch
+// missed counts 6 s after the watch fell silent.
 func (a *Audit) agentDeadline(p *process, published time.Duration) (at time.Duration, reason string) {
 	at, reason = a.nextReachable(max(published, p.started)), "the agent has it"
 	for _, reloaded := range p.reloads {
@@ -78,7 +78,8 @@
 
 // unwatchedDeadline returns when a change counts as notified to a balancer without a watch. Such a balancer may use its
 // list for AskWithin after its last call, four times as long if that call failed, counted anew from the end of an
-// outage; a change counts that long after discovery had it.
+// outage. A change counts that long after the last call or, if that is later, after discovery had it, unless the next
+// call begins first.
 func (a *Audit) unwatchedDeadline(p *process, published time.Duration) time.Duration {
 	lastEnd, lastFailed := time.Duration(0), false // the latest end of the calls so far, and whether that call failed
 	for _, c := range p.calls {
--- a/internal/lab/drainaudit/poll_clock.go
+++ b/internal/lab/drainaudit/poll_clock.go
@@ -13,8 +13,9 @@
 func (c *pollClock) postpone(at time.Duration, reason string) { c.at, c.reason = max(c.at, at), reason }
 
 // pollDeadline returns when a change counts as notified where lists are polled: 6 s after discovery had it and could be
-// reached, whatever calls failed. A change that a sound long poll missed by falling silent counts 2 s after the maximum
-// wait of the poll, if that is later. A process that starts later than that is notified at its start.
+// reached, whatever calls failed. A change that a long poll missed by falling silent counts 2 s after the maximum wait
+// of the poll, if that is later; a poll that followed a failed call does not have this limit. A process that starts
+// later than that is notified at its start.
 func (a *Audit) pollDeadline(p *process, published time.Duration) (at time.Duration, reason string) {
 	poll := a.pollClockWithoutCalls(published)
 	if poll.at < p.started {
@@ -71,7 +72,9 @@
 	}
 }
 
-// applySilentCall applies a call that fell silent at a time.
+// applySilentCall postpones the notification if the call fell silent before it. silentSince is the time from which on
+// the call counts as silent for this comparison. Only the first silent call postpones it, unless FurtherSilence is
+// exempted.
 func (a *Audit) applySilentCall(poll *pollClock, c *Call, silentSince time.Duration) {
 	if c.effectiveEnd() <= poll.reachableSince || poll.movedBySilence && !a.exempts(FurtherSilence) {
 		return
