--- a/internal/lab/drainsearch/search.go
+++ b/internal/lab/drainsearch/search.go
@@ -36,8 +36,8 @@
 // maxFound is how many failing scripts a search collects before it ends.
 const maxFound = 20
 
-// Search plays the sequences of consecutive seeds on several goroutines until a point in real time; a zero time sets no
-// limit.
+// Search plays the sequences of consecutive seeds from the first one on, on several goroutines. It ends early at a point
+// in real time, unless that is zero, or when it has collected maxFound failing scripts.
 func Search(first uint64, sequences, workers int, until time.Time, options Options) Result {
 	var next, sent, played atomic.Int64
 	var mu sync.Mutex
--- a/internal/lab/drainsearch/search_test.go
+++ b/internal/lab/drainsearch/search_test.go
@@ -16,11 +16,11 @@
 // pages leave room this test applies the lenient readings of the design page; TestNoSequenceBreaksTheRuleReadStrictly
 // has none.
 func TestNoSequenceBreaksTheRule(t *testing.T) {
-	tally := Search(1, shortSearch, 2, time.Time{}, Options{Exempt: drainaudit.LenientReadings})
-	assert.Equal(t, shortSearch, tally.Sequences)
-	assert.Greater(t, tally.Sent, 20*shortSearch, "first bytes judged")
-	assert.Empty(t, tally.Excused)
-	for _, f := range tally.FailingScripts {
+	result := Search(1, shortSearch, 2, time.Time{}, Options{Exempt: drainaudit.LenientReadings})
+	assert.Equal(t, shortSearch, result.Sequences)
+	assert.Greater(t, result.Sent, 20*shortSearch, "first bytes judged")
+	assert.Empty(t, result.Excused)
+	for _, f := range result.FailingScripts {
 		t.Errorf("seed %d: %v", f.Seed, f.Violation)
 	}
 }
@@ -29,9 +29,9 @@
 // process starts, while discovery refuses calls because it is overloaded, and while one call after the other falls
 // silent.
 func TestNoSequenceBreaksTheRuleReadStrictly(t *testing.T) {
-	tally := Search(1, shortSearch, 2, time.Time{}, Options{})
-	assert.Empty(t, tally.FailingScripts, "under any reading")
-	assert.Empty(t, tally.Excused, "under a strict reading")
+	result := Search(1, shortSearch, 2, time.Time{}, Options{})
+	assert.Empty(t, result.FailingScripts, "under any reading")
+	assert.Empty(t, result.Excused, "under a strict reading")
 }
 
 // Drawn sequences that broke the rule, read strictly, because a list was used whatever its age: by a process that had
--- a/internal/lab/drainsearch/watch.go
+++ b/internal/lab/drainsearch/watch.go
@@ -28,7 +28,8 @@
 	})
 }
 
-// scheduleExternal runs the outside effect of the current event, once the process is past a hold.
+// scheduleExternal schedules what the current event causes outside the process, once the process is past a hold. It is
+// dropped if the process has ended by then.
 func (b *balancer) scheduleExternal(after time.Duration, action func()) {
 	process := b.process
 	b.world.at(b.writeTime+after, func() {
--- a/internal/lab/drainsearch/world.go
+++ b/internal/lab/drainsearch/world.go
@@ -9,7 +9,8 @@
 // start is where the virtual clock begins: Unix time, as the balancer's own clock does.
 const start = 1_700_000_000 * time.Second
 
-// Options inject a fault into the code around the balancer, to check that the search finds it.
+// Options change how a script is played and judged. SkipLastCheck, IgnoresGrace and LateCalls inject a fault into the
+// code around the balancer, to check that the search finds it.
 type Options struct {
 	SkipLastCheck bool                  // the first byte is written without the last check
 	IgnoresGrace  bool                  // the balancer uses a grace that is a second too long
--- a/internal/lab/soak/crossings.go
+++ b/internal/lab/soak/crossings.go
@@ -37,8 +37,8 @@
 	return s
 }
 
-// Connections that come up late. The kernel retransmits a SYN after synRetryDelay, so a connection that is requested
-// within that time before a drain, less the grace, comes up once the grace of the drain is over.
+// Connections that come up late. The kernel retransmits a SYN after synRetryDelay. So a connection that is requested less
+// than synRetryDelay minus the grace before a drain comes up after the grace of the drain is over.
 const (
 	synRetryDelay = time.Second
 	lateRequests  = 30        // for each drain
@@ -60,8 +60,8 @@
 }
 
 // Clients that leave in a burst. A stop between the last check of a client and the first byte is shorter than the time
-// for which an attempt may follow the end of its client; what is written after the second stop was checked once more,
-// or is written without any check.
+// for which an attempt may follow the end of its client. A first byte that is written after the second stop either
+// follows a further check or was written without any check.
 const (
 	burstClients       = 250
 	burstMaxPauseDelay = 25 * ms // latest stop of the balancer after the requests
--- a/internal/lab/soak/host_answers.go
+++ b/internal/lab/soak/host_answers.go
@@ -94,7 +94,7 @@
 	return nil
 }
 
-// hostDelay is how late a host with delayed answers answers.
+// hostDelay is by how much HostDelays delays each answer.
 const hostDelay = 200 * time.Millisecond
 
 // delayAnswer delays an answer if the host has that fault now; it returns false if the balancer has abandoned the
--- a/internal/lab/soak/result.go
+++ b/internal/lab/soak/result.go
@@ -17,8 +17,8 @@
 	What    string
 }
 
-func (b Violation) String() string {
-	return fmt.Sprintf("%8.3f  %s: %s (balancer %s, host %s, request %s)", b.At.Seconds(), b.Rule, b.What, b.Node, b.Host, b.Request)
+func (v Violation) String() string {
+	return fmt.Sprintf("%8.3f  %s: %s (balancer %s, host %s, request %s)", v.At.Seconds(), v.Rule, v.What, v.Node, v.Host, v.Request)
 }
 
 // Event is one line of the record of a run.
@@ -53,9 +53,9 @@
 }
 
 // recordViolation records a violation of a rule. The caller holds the lock.
-func (w *world) recordViolation(b Violation) {
-	w.violations = append(w.violations, b)
-	w.recordEvent(Event{Node: b.Node, Host: b.Host, Request: b.Request, What: "BROKEN " + b.Rule + ": " + b.What})
+func (w *world) recordViolation(v Violation) {
+	w.violations = append(w.violations, v)
+	w.recordEvent(Event{Node: v.Node, Host: v.Host, Request: v.Request, What: "BROKEN " + v.Rule + ": " + v.What})
 }
 
 // result sums up the run.
--- a/internal/lab/soak/signals.go
+++ b/internal/lab/soak/signals.go
@@ -7,7 +7,7 @@
 	"time"
 )
 
-// signal sends a signal to the current process, unless the process was already signalled to end.
+// signal sends a signal to the current process, unless the process is not in rotation or was already signalled to end.
 func (n *node) signal(s syscall.Signal) (process int, ok bool) {
 	n.mu.Lock()
 	defer n.mu.Unlock()
@@ -129,9 +129,9 @@
 // maxBetweenPauses is how long a process that is stopped twice runs in between at most.
 const maxBetweenPauses = 50 * time.Millisecond
 
-// pauseTwice stops the process, and stops it again once it has written an attempt or has had the time to. Without the
-// run in between, a process that received no CPU time would have been held up for longer than the pages allow between
-// its last check of a client and its write.
+// pauseTwice stops the process, and stops it again once it has written an attempt or has had the time to. A process that
+// received no CPU time between the two stops would be held up for longer than the pages allow between its last check of
+// a client and its write.
 func (n *node) pauseTwice(d time.Duration) {
 	n.pause(d)
 	select {
